--- a/src/ids.rs
+++ b/src/ids.rs
@@ -1,9 +1,9 @@
-//! Indices by which requests, endpoints, request classes and tenants are known, each of a type of its own, so
-//! that none is taken for another.
+//! Typed indices of requests, endpoints, request classes and tenants, so that the compiler catches one kind
+//! used in place of another.
 
 use std::fmt;
 
-/// Defines a small index that stands for one kind of thing.
+/// Defines an index type.
 macro_rules! index_type {
     ($(#[$documentation:meta])* $name:ident) => {
         $(#[$documentation])*
@@ -11,12 +11,12 @@
         pub struct $name(usize);
 
         impl $name {
-            /// The one of this index.
+            /// Wraps a raw index.
             pub const fn new(index: usize) -> Self {
                 $name(index)
             }
 
-            /// Its index.
+            /// The raw index.
             pub const fn index(self) -> usize {
                 self.0
             }
@@ -31,21 +31,21 @@
 }
 
 index_type! {
-    /// A small index that stands for a request while it is in flight.
+    /// The index of a request while it is in flight.
     RequestId
 }
 
 index_type! {
-    /// A small index that stands for an endpoint, a server process, while it is known.
+    /// The index of an endpoint (a server process) while it is known.
     EndpointId
 }
 
 index_type! {
-    /// The index of a request class in the settings.
+    /// The index of a request class.
     ClassId
 }
 
 index_type! {
-    /// The index of a tenant in the settings.
+    /// The index of a tenant.
     TenantId
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,7 +1,7 @@
-//! crankmux: the decisions of a reverse proxy that spreads requests over HTTP servers.
+//! Load-balancing library of the crankmux reverse proxy. It does no I/O and reads no clock.
 //!
-//! [`balancer`] holds every decision; [`types`] the plain types that go in and out; [`settings`] reads what
-//! the operators set; [`dispatcher`] drives the decisions in blocking style, for network code.
+//! [`balancer`] makes all load-balancing decisions; [`types`] defines its input and output types;
+//! [`settings`] parses and validates the settings; [`dispatcher`] wraps the balancer for network code.
 
 pub mod balancer;
 pub mod dispatcher;
--- a/src/types.rs
+++ b/src/types.rs
@@ -1,10 +1,10 @@
-//! Plain types shared by the decisions and whatever protocol stands before them.
+//! Types shared by the balancer and its callers.
 //!
-//! Times are milliseconds of the caller's clock, durations milliseconds.
+//! Timestamps are milliseconds on the caller's clock; durations are milliseconds.
 
 pub use crate::ids::{ClassId, EndpointId, RequestId, TenantId};
 
-/// The seeded random generator of the decisions.
+/// The balancer's seeded random number generator.
 pub struct SeededRandom(pub oorandom::Rand64);
 
 impl Default for SeededRandom {
@@ -16,47 +16,47 @@
 /// Whether a request may be executed more than once.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Idempotency {
-    /// It may be executed any number of times.
+    /// May be executed any number of times.
     Idempotent,
-    /// It carries an idempotency key, by which a group of endpoints drops repeats.
+    /// Carries an idempotency key, by which endpoints within a [`DeduplicationScope`] drop duplicates.
     IdempotentWithKey,
-    /// It may be executed once only; the strictest, and so the default.
+    /// Must be executed at most once. The default, as the safest.
     #[default]
     NotIdempotent,
 }
 
-/// The group of endpoints that drop each other's repeats of a request with an idempotency key.
+/// The set of endpoints within which duplicates of a request with an idempotency key are dropped.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum DeduplicationScope {
     /// All endpoints.
     Global,
-    /// The endpoints of one zone.
+    /// Endpoints in the same zone.
     Zone,
-    /// The endpoints of one pod; the narrowest, and so the default.
+    /// Endpoints in the same pod. The default, as the narrowest.
     #[default]
     Pod,
 }
 
-/// What the endpoint list says of an endpoint.
+/// The state of an endpoint according to the endpoint list.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum EndpointState {
-    /// It takes new requests.
+    /// Accepts new requests.
     Ready,
-    /// It finishes what it has and takes nothing new.
+    /// Finishes its requests in flight and accepts no new ones.
     Draining,
-    /// It is not listed any more.
+    /// No longer listed.
     #[default]
     Removed,
 }
 
-/// One line of the endpoint list.
+/// An entry of the endpoint list.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct EndpointUpdate {
     /// The local index of the endpoint.
     pub endpoint: EndpointId,
-    /// The number by which all proxies know it.
+    /// The endpoint's identifier, the same in all proxies.
     pub stable_hash: u64,
-    /// Its state.
+    /// The endpoint's state.
     pub state: EndpointState,
     /// The index of its zone.
     pub zone: usize,
@@ -64,63 +64,63 @@
     pub machine_class: usize,
     /// The index of its pod.
     pub pod: usize,
-    /// Clock time of its last start; 0 means long ago.
+    /// When the process last started; 0 means long ago.
     pub started_at_ms: f64,
 }
 
-/// A request that has come in.
+/// A request received from a client.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct NewRequest {
-    /// Its index.
+    /// The request.
     pub request: RequestId,
-    /// Its request class.
+    /// The request class.
     pub class: ClassId,
-    /// Its tenant, where it names one.
+    /// The tenant, if the request names one.
     pub tenant: Option<TenantId>,
-    /// How long its client waits for the final answer.
+    /// How long the client waits for a response.
     pub ttl_ms: f64,
-    /// The client has tried before.
+    /// Whether the client marked the request as a retry.
     pub client_retry: bool,
-    /// What it is about, where it says so; requests of one key belong together.
+    /// The affinity key, if any: requests with the same key prefer the same endpoints.
     pub key: Option<u64>,
 }
 
 /// How an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptOutcome {
-    /// The endpoint answered with success.
+    /// The endpoint returned a successful response.
     Succeeded,
-    /// The endpoint answered with an error.
+    /// The endpoint returned an error.
     Failed,
-    /// The endpoint rejected it, and never executed it.
+    /// The endpoint rejected the request without executing it.
     Rejected,
-    /// No answer came in time.
+    /// No response arrived before the timeout.
     TimedOut,
-    /// No connection could be made.
+    /// No connection could be established.
     Unreachable,
-    /// The connection was lost under the request.
+    /// The connection was lost while the request was in flight.
     ConnectionLost,
-    /// The proxy gave it up.
+    /// The proxy cancelled it.
     Cancelled,
-    /// It was never sent.
+    /// The attempt was never sent.
     NotSent,
 }
 
 impl AttemptOutcome {
-    /// Whether it is known that the request was not executed there.
+    /// Whether the endpoint certainly did not execute the request.
     pub fn never_executed(self) -> bool {
         matches!(self, AttemptOutcome::Rejected | AttemptOutcome::Unreachable | AttemptOutcome::NotSent)
     }
 }
 
-/// An endpoint's report of its own load, as far as it gives one.
+/// An endpoint's load report; values that it does not report are `None`.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LoadReport {
-    /// Requests that wait there.
+    /// Requests waiting in the endpoint's queue.
     pub queued: Option<f64>,
-    /// Requests that it has, waiting and executing.
+    /// Requests at the endpoint, waiting and executing.
     pub in_flight: Option<f64>,
-    /// Share of its cores in use.
+    /// Fraction of the endpoint's CPU capacity in use.
     pub cpu_utilization: Option<f64>,
 }
 
@@ -129,66 +129,66 @@
 pub struct AttemptResult {
     /// The request.
     pub request: RequestId,
-    /// The number of the attempt, from 0 in the order of their starts.
+    /// The attempt's number: attempts of a request are numbered from 0 in start order.
     pub attempt: usize,
     /// How it ended.
     pub outcome: AttemptOutcome,
-    /// How long it took.
+    /// The attempt's duration.
     pub duration_ms: f64,
-    /// The client has its final answer, by this result or before it.
+    /// Whether the client has received its final response, from this attempt or earlier.
     pub request_closed: bool,
-    /// What the endpoint reported with its answer.
+    /// The load report that came with the response.
     pub load: LoadReport,
 }
 
-/// What a proxy has learned of an endpoint.
+/// What a proxy has learned about an endpoint.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct EndpointStatistics {
-    /// Latency over the usual one, smoothed; none before the first answer.
+    /// Smoothed ratio of attempt latency to the request class's mean; `None` before the first sample.
     pub relative_latency: Option<f64>,
-    /// The best of it.
+    /// Smoothed minimum of `relative_latency`.
     pub best_relative_latency: f64,
-    /// Share of failed attempts, smoothed.
+    /// Smoothed fraction of failed attempts.
     pub error_rate: f64,
-    /// Own work that succeeded, in usual requests a millisecond, smoothed.
+    /// Smoothed rate of this proxy's successful attempts, in requests of mean cost per millisecond.
     pub throughput: f64,
-    /// The most of it.
+    /// Highest `throughput` seen, less a margin for sampling error.
     pub peak_throughput: f64,
-    /// How many requests of all proxies together may be in flight there.
+    /// How many requests of all proxies together may be in flight at the endpoint.
     pub concurrency_limit: f64,
 }
 
-/// What a proxy has learned of all endpoints.
+/// What a proxy has learned about its request classes and endpoints.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct LearnedState {
-    /// Smoothed latency of a successful attempt.
+    /// Smoothed latency of successful attempts.
     pub mean_latency_ms: f64,
-    /// The multiple of the usual latency that most attempts stay under.
+    /// The 95th percentile of attempt latency, as a multiple of the expected latency.
     pub tail_multiple: f64,
-    /// Own work that a warm endpoint bears in the mean, in usual requests a millisecond.
+    /// Peak of the mean `throughput` of endpoints past slow start; decays slowly.
     pub warm_throughput: f64,
-    /// Of each request class: its latency, and how many successes that rests on.
+    /// Mean latency and number of successful attempts of each request class.
     pub classes: Vec<(f64, f64)>,
     /// The statistics of each endpoint.
     pub endpoints: Vec<(EndpointId, EndpointStatistics)>,
 }
 
-/// Where the decisions go. Whoever runs the balancer implements it; calls take effect in their order.
+/// Receives the balancer's decisions; implemented by its caller. Calls take effect in order.
 pub trait Actions {
-    /// Sends an attempt of a request to an endpoint; it may take so long.
+    /// Sends the next attempt of a request to an endpoint, with a timeout.
     fn start_attempt(&mut self, request: RequestId, endpoint: EndpointId, timeout_ms: f64);
-    /// Asks an endpoint for its load; the answer, or that there is none, comes by `Balancer::probe_ended`.
+    /// Sends a load probe to an endpoint; `Balancer::probe_ended` takes the result, also when it fails.
     fn probe(&mut self, endpoint: EndpointId);
-    /// Cancels an attempt that is in flight.
+    /// Cancels an attempt in flight.
     fn cancel(&mut self, request: RequestId, attempt: usize);
-    /// Answers the client that the request was rejected; it may come back after a time.
+    /// Tells the client that the request was rejected and may be retried after a delay.
     fn reject(&mut self, request: RequestId, retry_after_ms: f64);
-    /// Answers the client that the request has failed, and may have been executed.
+    /// Tells the client that the request failed and may have been executed.
     fn fail(&mut self, request: RequestId);
-    /// Calls `Balancer::timer_expired` with this timer at a time.
+    /// Schedules a call of `Balancer::timer_expired` with this timer.
     fn set_timer(&mut self, at_ms: f64, timer: u64);
-    /// Opens a watch on the endpoint list.
+    /// Subscribes to changes of the endpoint list.
     fn watch_endpoints(&mut self);
-    /// Asks for the whole endpoint list once.
+    /// Requests the complete endpoint list once.
     fn poll_endpoints(&mut self);
 }
