--- a/src/settings/error.rs
+++ b/src/settings/error.rs
@@ -1,9 +1,9 @@
-//! What can be wrong with the settings.
+//! Errors in the settings.
 
-/// A fault in the settings; its text names the key as the operators write it.
+/// An error in the settings. The message names the key as it is written in the settings.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum SettingsError {
-    /// A setting that the decisions cannot do without is absent.
+    /// A required setting is missing.
     #[error("setting {setting} is missing (on the wire: {key})")]
     Missing {
         /// The name of the setting.
@@ -11,7 +11,7 @@
         /// Its key on the wire.
         key: &'static str,
     },
-    /// A setting that the decisions cannot do without is of another type.
+    /// A required setting is not a number.
     #[error("setting {setting} is not a number (on the wire: {key})")]
     NotANumber {
         /// The name of the setting.
@@ -19,7 +19,7 @@
         /// Its key on the wire.
         key: &'static str,
     },
-    /// A request class does not say whether its requests may be repeated.
+    /// The idempotency of a request class is missing or unknown.
     #[error("setting {setting} is missing or unknown (on the wire: {key})")]
     UnknownIdempotency {
         /// The name of the setting.
@@ -27,34 +27,34 @@
         /// Its key on the wire.
         key: &'static str,
     },
-    /// A number or flag is negative, or neither.
+    /// A value is neither a non-negative number nor a boolean.
     #[error("{0} is no number from 0 and neither true nor false")]
     NotANumberOrFlag(String),
-    /// A number is zero, negative, absent or something else.
+    /// A value is missing or not a positive number.
     #[error("{0} is no number above 0")]
     NotPositive(String),
-    /// A number is negative, or something else.
+    /// A value is not a non-negative number.
     #[error("{0} is no number from 0")]
     Negative(String),
-    /// There is no list of request classes.
+    /// The list of request classes is missing or not a list.
     #[error("{0} is missing or no list")]
     NoList(&'static str),
-    /// The scope of deduplication is none of those known.
+    /// The deduplication scope of a request class is unknown.
     #[error("{0} is none of all, zone and cell")]
     UnknownScope(String),
-    /// A list of places holds something that is no name, or is no list.
+    /// A list of zones or machine classes is not a list of names.
     #[error("{0} is no list of names")]
     NotNames(String),
-    /// A request class has no name.
+    /// The name of a request class is missing or empty.
     #[error("{0} is missing or no name")]
     NoName(String),
-    /// The way in which endpoints report their load is none of those known.
+    /// The load reporting method is unknown.
     #[error("{0} is none of piggyback, pull and silent")]
     UnknownReporting(&'static str),
-    /// Load is to be asked for, but may not be.
+    /// Load is to be reported to probes, but probes are disabled.
     #[error("{0} is pull, but Limits.Probes allows no probe")]
     ProbesNotAllowed(&'static str),
-    /// The number of this proxy is not under the number of proxies.
+    /// The number of this proxy is not less than the number of proxies.
     #[error("{0} is not under GroupSize")]
     ProxyNumberTooHigh(&'static str),
 }
--- a/src/settings/load_report.rs
+++ b/src/settings/load_report.rs
@@ -1,12 +1,12 @@
-//! The values of load reports, by the names that endpoints give them.
+//! Decoding of load report values by name.
 
 use crate::types::LoadReport;
 
-/// Above this a value is taken for a fault.
+/// Values from here on are rejected as invalid.
 const MAX_VALUE: f64 = 1e6;
 
-/// Sets one value of a load report by any of its names. Unknown names are passed over, and so are values that
-/// cannot be meant: one without bound would make an endpoint look empty or full for seconds.
+/// Sets a value of a load report by one of its names. Ignores unknown names and values out of range, which
+/// would make an endpoint look empty or full until its next report.
 pub fn set_load_value(report: &mut LoadReport, name: &str, value: f64) {
     if !(0.0..MAX_VALUE).contains(&value) {
         return;
--- a/src/settings/mod.rs
+++ b/src/settings/mod.rs
@@ -1,5 +1,5 @@
-//! The operators' settings: their form on the wire, their validation, the typed form that the decisions are
-//! handed, and the index of the names in them.
+//! Settings of the balancer: decoding, validation, their typed form, and the index of the names that they
+//! define.
 
 mod error;
 mod load_report;
--- a/src/settings/names.rs
+++ b/src/settings/names.rs
@@ -1,48 +1,48 @@
-//! The index of names: what operators and the endpoint list call by name or number has a small index here.
+//! Maps names and numeric identifiers from the settings and the endpoint list to dense indices.
 
 use super::error::SettingsError;
 use super::typed::{ClassPlacement, PlacementSet, Settings};
-use super::wire::{Field, List, Named, Number, PlaceName, WireClass, WireSettings, WireTenant};
+use super::wire::{Field, List, Named, NonEmptyName, Number, WireClass, WireSettings, WireTenant};
 use crate::types::{ClassId, EndpointId, EndpointState, EndpointUpdate, TenantId};
 use serde_json::Value;
 use slab::Slab;
 use std::collections::HashMap;
 
-/// The names of one list of the settings. Each keeps its index for good, also once it is gone from them.
+/// The names in a list of the settings. A name keeps its index after it is removed from the list.
 #[derive(Clone, Default)]
 pub struct NamedEntries {
-    /// All names, by index.
+    /// All names, also those removed, by index.
     pub names: Vec<String>,
     listed: Vec<bool>,
 }
 
 impl NamedEntries {
-    /// The index of one that the settings list now.
+    /// The index of a currently listed name.
     fn index(&self, name: &str) -> Option<usize> {
         self.names.iter().position(|known| known == name).filter(|index| self.listed[*index])
     }
 
-    /// Whether the settings list none.
+    /// Whether no name is currently listed.
     pub fn is_empty(&self) -> bool {
         !self.listed.contains(&true)
     }
 
-    /// Takes over what the settings list now; `kept` holds the entries by index, also those listed no more.
-    fn update<T: Clone + Default>(&mut self, kept: &mut Vec<Named<T>>, listed: &[Named<T>]) {
+    /// Applies a new list. `entries` holds all entries by index, also those removed from the list.
+    fn update<T: Clone + Default>(&mut self, entries: &mut Vec<Named<T>>, listed: &[Named<T>]) {
         self.listed.fill(false);
         for entry in listed {
-            let index = index_of(&mut self.names, &entry.name);
-            if index == kept.len() {
-                kept.push(Named::default());
+            let index = intern(&mut self.names, &entry.name);
+            if index == entries.len() {
+                entries.push(Named::default());
                 self.listed.push(false);
             }
-            kept[index] = entry.clone();
+            entries[index] = entry.clone();
             self.listed[index] = true;
         }
     }
 }
 
-/// The names of request classes, tenants, zones, machine classes, endpoints and pods, with their indices.
+/// The indices of request classes, tenants, zones, machine classes, endpoints and pods.
 #[derive(Clone, Default)]
 pub struct NameIndex {
     /// The request classes.
@@ -53,31 +53,31 @@
     tenant_entries: Vec<Named<WireTenant>>,
     zones: Vec<String>,
     machine_classes: Vec<String>,
-    endpoints: NumberIndex,
-    pods: NumberIndex,
-    /// The pod of each endpoint, by its index.
+    endpoints: IdInterner,
+    pods: IdInterner,
+    /// The pod index of each endpoint, by endpoint index.
     pod_of_endpoint: Vec<usize>,
 }
 
 impl NameIndex {
-    /// Reads the names of the settings, and the settings by these. The names stand also where a setting that
-    /// the decisions need is missing.
+    /// Builds the index of the names in the settings, and parses the settings. The index is returned even if
+    /// parsing fails.
     pub fn from_settings(settings: &Value) -> (Self, Result<Settings, SettingsError>) {
         let mut names = NameIndex::default();
         let settings = names.update(settings);
         (names, settings)
     }
 
-    /// Reads new settings: whatever had an index keeps it. As names may have changed also where this fails,
-    /// call it on a copy.
+    /// Parses new settings; names keep their indices. Names may be added even if it fails, so call it on a
+    /// copy.
     ///
     /// # Errors
     ///
-    /// Names a setting that the decisions cannot do without.
+    /// A required setting is missing or invalid.
     pub fn update(&mut self, settings: &Value) -> Result<Settings, SettingsError> {
-        let mut wire = WireSettings::read(settings);
+        let mut wire = WireSettings::parse(settings);
         for zone in wire.zones.entries() {
-            self.zone(&zone.name);
+            self.intern_zone(&zone.name);
         }
         if wire.classes != List::Absent {
             self.classes.update(&mut self.class_entries, wire.classes.entries());
@@ -90,22 +90,22 @@
         }
         let classes = wire.classes.entries().iter();
         let placement = classes.map(|class| self.placement(&class.entry)).collect();
-        // Without a zone of its own a proxy counts as one of the first zone.
-        let my_zone = wire.my_zone.text().map_or(0, |zone| self.zone(zone));
-        Settings::read(&wire, my_zone, placement)
+        // A proxy without a configured zone is assigned to the first one.
+        let my_zone = wire.my_zone.text().map_or(0, |zone| self.intern_zone(zone));
+        Settings::from_wire(&wire, my_zone, placement)
     }
 
-    /// The request class of this name that the settings list now.
+    /// The currently listed request class with this name.
     pub fn class(&self, name: &str) -> Option<ClassId> {
         self.classes.index(name).map(ClassId::new)
     }
 
-    /// The tenant of this name that the settings list now.
+    /// The currently listed tenant with this name.
     pub fn tenant(&self, name: &str) -> Option<TenantId> {
         self.tenants.index(name).map(TenantId::new)
     }
 
-    /// The weight of a class that is listed no more would make all others look small.
+    /// Sets the weight of removed classes to 0, as priorities are relative to the highest weight.
     fn clear_unlisted_weights(&self, wire: &mut WireSettings) {
         let List::Valid(classes) = &mut wire.classes else { return };
         for (class, listed) in classes.iter_mut().zip(&self.classes.listed) {
@@ -115,7 +115,7 @@
         }
     }
 
-    /// Where a class may run. A name that no endpoint has yet gets its index now, so that no other fits it.
+    /// The placement constraints of a class. Names that no endpoint uses yet are assigned an index.
     fn placement(&mut self, class: &WireClass) -> ClassPlacement {
         ClassPlacement {
             zones: placement_set(&class.zones, &mut self.zones),
@@ -123,39 +123,39 @@
         }
     }
 
-    fn zone(&mut self, name: &str) -> usize {
-        index_of(&mut self.zones, name)
+    fn intern_zone(&mut self, name: &str) -> usize {
+        intern(&mut self.zones, name)
     }
 
-    /// Forgets all endpoints but those still in use, and the pods that held no other. Endpoints that are
-    /// replaced under new numbers would otherwise fill the memory.
+    /// Removes endpoints that are not in use, and pods left without endpoints, so that the index does not grow
+    /// as endpoints are replaced under new identifiers.
     pub fn retain_endpoints(&mut self, in_use: impl Fn(EndpointId) -> bool) {
         self.endpoints.retain(|index| in_use(EndpointId::new(index)));
-        let (endpoints, pod_of_endpoint) = (&self.endpoints.numbers, &self.pod_of_endpoint);
+        let (endpoints, pod_of_endpoint) = (&self.endpoints.ids, &self.pod_of_endpoint);
         self.pods.retain(|pod| endpoints.iter().any(|(endpoint, _)| pod_of_endpoint[endpoint] == pod));
     }
 
-    /// The number by which all proxies know an endpoint.
+    /// The identifier of an endpoint, the same in all proxies.
     pub fn stable_hash(&self, endpoint: EndpointId) -> u64 {
-        self.endpoints.numbers[endpoint.index()]
+        self.endpoints.ids[endpoint.index()]
     }
 
-    /// The index of an endpoint by that number, which it gets if it has none.
+    /// The index of the endpoint with this identifier, which is assigned one if it has none.
     pub fn endpoint(&mut self, stable_hash: u64) -> EndpointId {
-        let endpoint = self.endpoints.index(stable_hash);
-        let pod = self.pods.index(u64::MAX - stable_hash);
+        let endpoint = self.endpoints.intern(stable_hash);
+        let pod = self.pods.intern(u64::MAX - stable_hash);
         if self.pod_of_endpoint.len() <= endpoint {
             self.pod_of_endpoint.resize(endpoint + 1, pod);
         }
         EndpointId::new(endpoint)
     }
 
-    /// The index of an endpoint by that number, while it is known.
+    /// The index of the endpoint with this identifier, if it is known.
     pub fn find_endpoint(&self, stable_hash: u64) -> Option<EndpointId> {
-        self.endpoints.by_number.get(&stable_hash).copied().map(EndpointId::new)
+        self.endpoints.index_by_id.get(&stable_hash).copied().map(EndpointId::new)
     }
 
-    /// One line of the endpoint list. Without a pod an endpoint shares one with no other.
+    /// Builds an entry of the endpoint list. An endpoint without a pod is assigned one of its own.
     pub fn endpoint_update(
         &mut self,
         stable_hash: u64,
@@ -164,8 +164,8 @@
         pod: Option<u64>,
         started_at_ms: f64,
     ) -> EndpointUpdate {
-        let endpoint = self.endpoints.index(stable_hash);
-        let pod = self.pods.index(pod.unwrap_or(u64::MAX - stable_hash));
+        let endpoint = self.endpoints.intern(stable_hash);
+        let pod = self.pods.intern(pod.unwrap_or(u64::MAX - stable_hash));
         if self.pod_of_endpoint.len() <= endpoint {
             self.pod_of_endpoint.resize(endpoint + 1, pod);
         }
@@ -174,47 +174,47 @@
             endpoint: EndpointId::new(endpoint),
             stable_hash,
             state,
-            zone: self.zone(zone),
-            machine_class: index_of(&mut self.machine_classes, machine_class),
+            zone: self.intern_zone(zone),
+            machine_class: intern(&mut self.machine_classes, machine_class),
             pod,
             started_at_ms,
         }
     }
 }
 
-/// Small indices for numbers from outside, used again once what they stood for is forgotten.
+/// Assigns dense indices to external identifiers, and reuses the indices of removed ones.
 #[derive(Clone, Default)]
-struct NumberIndex {
-    by_number: HashMap<u64, usize>,
-    numbers: Slab<u64>,
+struct IdInterner {
+    index_by_id: HashMap<u64, usize>,
+    ids: Slab<u64>,
 }
 
-impl NumberIndex {
-    /// The index of a number, which it gets if it has none.
-    fn index(&mut self, number: u64) -> usize {
-        *self.by_number.entry(number).or_insert_with(|| self.numbers.insert(number))
+impl IdInterner {
+    /// The index of an identifier, which is assigned one if it has none.
+    fn intern(&mut self, id: u64) -> usize {
+        *self.index_by_id.entry(id).or_insert_with(|| self.ids.insert(id))
     }
 
     fn retain(&mut self, in_use: impl Fn(usize) -> bool) {
-        let by_number = &mut self.by_number;
-        self.numbers.retain(|index, number| in_use(index) || by_number.remove(number).is_none());
+        let index_by_id = &mut self.index_by_id;
+        self.ids.retain(|index, id| in_use(index) || index_by_id.remove(id).is_none());
     }
 }
 
-/// The index of a name, which it gets if it has none.
-fn index_of(names: &mut Vec<String>, name: &str) -> usize {
+/// The index of a name, which is assigned one if it has none.
+fn intern(names: &mut Vec<String>, name: &str) -> usize {
     names.iter().position(|known| known == name).unwrap_or_else(|| {
         names.push(name.into());
         names.len() - 1
     })
 }
 
-/// The indices of named places. Something other than a list must not open what a list was to close, so that
-/// it counts as an empty one; [`super::validate`] refuses it before it comes so far.
-fn placement_set(places: &Field<Vec<PlaceName>>, names: &mut Vec<String>) -> Option<PlacementSet> {
-    match places {
+/// The indices of allowed zones or machine classes. An invalid list counts as empty, as it must not lift a
+/// restriction; [`super::validate`] rejects it.
+fn placement_set(allowed: &Field<Vec<NonEmptyName>>, names: &mut Vec<String>) -> Option<PlacementSet> {
+    match allowed {
         Field::Absent => None,
-        Field::Valid(places) => Some(places.iter().map(|place| index_of(names, &place.0)).collect()),
+        Field::Valid(allowed) => Some(allowed.iter().map(|name| intern(names, &name.0)).collect()),
         Field::Invalid => Some(PlacementSet::from([])),
     }
 }
--- a/src/settings/typed.rs
+++ b/src/settings/typed.rs
@@ -1,71 +1,71 @@
-//! The settings as the decisions are handed them, and how they are read from the wire's form.
+//! The typed settings of the balancer, and their conversion from the wire format.
 
 use super::error::SettingsError;
 use super::wire::{Field, List, Number, WireClass, WireSettings, WireTenant};
 use crate::types::{DeduplicationScope, Idempotency};
 use std::sync::Arc;
 
-/// Poll the endpoint list so often where the settings do not say.
+/// The default of [`Settings::poll_within_ms`].
 const DEFAULT_POLL_WITHIN_MS: f64 = 8000.0;
 
-/// A set of zones, or of machine classes, by their indices.
+/// Indices of zones or of machine classes.
 pub type PlacementSet = Arc<[usize]>;
 
-/// What the operators demand of a proxy and allow it.
+/// The settings of a proxy's balancer.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Settings {
-    /// How many proxies share the endpoints; at least 1.
+    /// The number of proxies that share the endpoints; at least 1.
     pub proxy_count: f64,
-    /// Which of them this one is, from 0.
+    /// The number of this proxy among them, from 0.
     pub proxy_number: Option<f64>,
-    /// The index of the zone that this proxy stands in.
+    /// The index of this proxy's zone.
     pub my_zone: usize,
     /// The request classes.
     pub classes: Vec<ClassSettings>,
     /// The tenants.
     pub tenants: Vec<TenantSettings>,
-    /// The weight left to the requests of a tenant that are over its quota.
+    /// The factor applied to the priority of requests over their tenant's quota.
     pub over_quota_weight: f64,
-    /// How many attempts a request may have.
+    /// The maximum number of attempts per request.
     pub max_attempts: f64,
-    /// Whether a second attempt may start while the first is in flight.
+    /// Whether requests may be hedged: a second attempt started while the first is in flight.
     pub hedging: bool,
     /// Whether attempts may be cancelled.
     pub cancellation: bool,
-    /// The longest Retry-After that a rejection may carry; 0 where it may carry none.
+    /// The longest Retry-After of a rejection; 0 if rejections carry none.
     pub max_retry_after_ms: f64,
-    /// Endpoints report their load only when they are probed, and they may be probed.
+    /// Whether endpoints report their load only to probes, and probes are allowed.
     pub load_by_probes: bool,
-    /// Only a few responses can be buffered for clients that read slowly.
+    /// Whether only a few responses can be buffered for slow clients.
     pub few_buffered_responses: bool,
-    /// Endpoints keep work by key, so that requests of one key should meet.
+    /// Whether endpoints cache by key, so that requests with the same key should go to the same endpoint.
     pub key_affinity: bool,
-    /// The price of an attempt to another zone, as a part of what a request is worth.
+    /// The cost of an attempt to another zone, as a fraction of the value of a request.
     pub cross_zone_price: f64,
-    /// The endpoint list must be watched; otherwise its changes come unasked.
+    /// Whether to subscribe to the endpoint list; otherwise changes are pushed without a subscription.
     pub watch_endpoints: bool,
-    /// How soon the proxy counts as notified where the list is watched.
+    /// The time within which a subscribed proxy is notified of a change.
     pub poll_within_ms: f64,
-    /// How soon a draining endpoint must get nothing more.
+    /// The time within which a draining endpoint must stop receiving requests.
     pub drain_grace_ms: f64,
-    /// By how much the time left to a request may be misjudged, as clocks differ.
+    /// The error in a request's remaining time due to clock skew.
     pub deadline_margin_ms: f64,
-    /// By how much a listed start time may be wrong, as clocks differ.
+    /// The error in a listed start time due to clock skew.
     pub start_time_error_ms: f64,
-    /// How an endpoint is treated after its start.
+    /// Slow start of endpoints.
     pub slow_start: SlowStartSettings,
 }
 
-/// How an endpoint is treated after its start.
+/// Slow start: the reduced load of an endpoint after it starts.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct SlowStartSettings {
-    /// How long it is warming up.
+    /// How long slow start takes.
     pub duration_ms: f64,
-    /// What part of a warm endpoint's load it bears right after its start; this rises evenly to all of it.
+    /// The endpoint's capacity at its start, as a fraction of full capacity; it rises linearly to 1.
     pub initial_share: f64,
-    /// It fails where it gets more than this multiple of what it bears within a window.
+    /// The endpoint fails if a window's load exceeds its capacity by this factor.
     pub overload_multiple: f64,
-    /// The length of that window.
+    /// The length of the window.
     pub window_ms: f64,
 }
 
@@ -74,37 +74,37 @@
 pub struct ClassSettings {
     /// Whether its requests may be executed more than once.
     pub idempotency: Idempotency,
-    /// Which endpoints drop each other's repeats.
+    /// The endpoints within which duplicates are dropped.
     pub deduplication_scope: DeduplicationScope,
-    /// For how long they do.
+    /// How long endpoints remember an idempotency key.
     pub deduplication_window_ms: f64,
-    /// The time within which requests should be answered.
+    /// The target latency.
     pub latency_objective_ms: f64,
-    /// What an answer in time is worth.
+    /// The weight of a response within the latency objective.
     pub priority_weight: f64,
-    /// What part of that is left of an answer that is late.
+    /// The fraction of that weight that a late response has.
     pub late_weight: f64,
-    /// The only zones that may get its requests; all, where none are named.
+    /// The zones that may receive its requests; `None` allows all.
     pub zones: Option<PlacementSet>,
-    /// The only machine classes that may get its requests; all, where none are named.
+    /// The machine classes that may receive its requests; `None` allows all.
     pub machine_classes: Option<PlacementSet>,
 }
 
 /// A tenant.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct TenantSettings {
-    /// Requests a second that all proxies take from it at full weight; `f64::MAX` where it has no quota.
+    /// Requests per second, over all proxies, at full priority; `f64::MAX` without a quota.
     pub quota_per_s: f64,
 }
 
 impl Settings {
-    /// The mean latency objective of all request classes.
+    /// The mean latency objective over all request classes.
     pub(crate) fn mean_objective_ms(&self) -> f64 {
         let objectives = self.classes.iter().map(|class| class.latency_objective_ms);
         objectives.sum::<f64>() / self.classes.len() as f64
     }
 
-    /// How soon the proxy must be notified of a change of the endpoint list.
+    /// The time within which the proxy is notified of a change of the endpoint list.
     pub(crate) fn notified_within_ms(&self) -> f64 {
         if self.watch_endpoints {
             self.poll_within_ms
@@ -113,7 +113,7 @@
         }
     }
 
-    pub(super) fn read(
+    pub(super) fn from_wire(
         wire: &WireSettings,
         my_zone: usize,
         placement: Vec<ClassPlacement>,
@@ -141,12 +141,12 @@
             tenants: wire.tenants.entries().iter().map(|tenant| read_tenant(&tenant.entry)).collect(),
             over_quota_weight: wire.over_quota_weight.number_or_flag().unwrap_or(1.0),
             max_attempts,
-            hedging: allowed(&limits.hedging),
-            cancellation: allowed(&limits.cancellation),
+            hedging: is_enabled(&limits.hedging),
+            cancellation: is_enabled(&limits.cancellation),
             max_retry_after_ms: retry_after * limits.max_retry_after_ms.number_or_flag().unwrap_or(0.0),
-            load_by_probes: polled && allowed(&limits.probes),
-            few_buffered_responses: allowed(&limits.buffered_responses),
-            key_affinity: allowed(&wire.specifics.key_affinity),
+            load_by_probes: polled && is_enabled(&limits.probes),
+            few_buffered_responses: is_enabled(&limits.buffered_responses),
+            key_affinity: is_enabled(&wire.specifics.key_affinity),
             cross_zone_price: wire.fees.cross_zone.number_or_flag().unwrap_or(0.0),
             watch_endpoints: wire.discovery.text() == Some("subscribe"),
             poll_within_ms: obligations.poll_within_ms.number_or_flag().unwrap_or(DEFAULT_POLL_WITHIN_MS),
@@ -158,7 +158,7 @@
     }
 }
 
-/// Where a request class may run; `None` where the settings name no place.
+/// The placement constraints of a request class; `None` allows all.
 #[derive(Clone, Debug, Default)]
 pub(super) struct ClassPlacement {
     pub(super) zones: Option<PlacementSet>,
@@ -182,7 +182,7 @@
     let deduplication_scope = match class.scope.text() {
         Some("all" | "fleet") => DeduplicationScope::Global,
         Some("zone") => DeduplicationScope::Zone,
-        // The narrowest is the one that holds whatever was meant.
+        // The narrowest scope is safe for every other one.
         _ => DeduplicationScope::Pod,
     };
     Ok(ClassSettings {
@@ -212,7 +212,7 @@
     Ok(SlowStartSettings { duration_ms, initial_share, overload_multiple, window_ms })
 }
 
-fn allowed(field: &Field<Number>) -> bool {
+fn is_enabled(field: &Field<Number>) -> bool {
     field.number_or_flag().is_some_and(|number| number > 0.0)
 }
 
--- a/src/settings/validation.rs
+++ b/src/settings/validation.rs
@@ -1,26 +1,26 @@
-//! The one place that says which settings a proxy refuses to run with.
+//! Validation of the settings before a proxy uses them.
 
 use super::error::SettingsError;
 use super::wire::{Field, List, Named, Number, WireClass, WireSettings};
 use serde_json::Value;
 
-const SCOPES: [&str; 3] = ["all", "zone", "cell"];
-const REPORTING: [&str; 3] = ["piggyback", "pull", "silent"];
+const DEDUPLICATION_SCOPES: [&str; 3] = ["all", "zone", "cell"];
+const REPORTING_METHODS: [&str; 3] = ["piggyback", "pull", "silent"];
 
-/// Checks settings for values that cannot be meant. A wrong word or sign would otherwise count as absent, and
-/// the proxy would serve for days in a way that nobody wanted.
+/// Rejects invalid settings, which the lenient parser would treat as absent: the proxy would run with
+/// unintended defaults.
 ///
 /// # Errors
 ///
-/// The first fault that is found.
+/// The first error found.
 pub fn validate(settings: &Value) -> Result<(), SettingsError> {
-    let settings = WireSettings::read(settings);
+    let settings = WireSettings::parse(settings);
     validate_numbers(&settings)?;
-    // No attempt at all would end each request at once.
+    // Without a positive limit no request would be attempted.
     require_positive(&settings.limits.max_attempts, || "Limits.MostPushes".into())?;
     for (index, Named { entry: tenant, .. }) in settings.tenants.entries().iter().enumerate() {
         for (name, field) in [("QuotaPerS", &tenant.quota_per_s), ("Fraction", &tenant.share)] {
-            require_not_negative(field, || format!("Customers.{index}.{name}"))?;
+            require_non_negative(field, || format!("Customers.{index}.{name}"))?;
         }
     }
     let List::Valid(classes) = &settings.classes else { return Err(SettingsError::NoList("Categories")) };
@@ -67,7 +67,7 @@
 
 fn validate_class(index: usize, class: &WireClass) -> Result<(), SettingsError> {
     let key = |name: &str| format!("Categories.{index}.{name}");
-    // A deadline of zero ends each request at once; one that is absent, or a number in quotes, never.
+    // A zero deadline would fail every request; a missing one would never expire.
     for (name, field) in [("TargetLatencyMs", &class.latency_objective_ms), ("TtlMs", &class.ttl_ms)] {
         require_positive(field, || key(name))?;
     }
@@ -77,15 +77,15 @@
         ("LateBenefit", &class.late_weight),
     ];
     for (name, field) in weights {
-        require_not_negative(field, || key(name))?;
+        require_non_negative(field, || key(name))?;
     }
     let has_idempotency_key = class.idempotency.text() == Some("idempotency_key");
-    if has_idempotency_key && !class.scope.is_absent_or(&SCOPES) {
+    if has_idempotency_key && !class.scope.is_absent_or(&DEDUPLICATION_SCOPES) {
         return Err(SettingsError::UnknownScope(key("Group")));
     }
-    // One name instead of a list, or a number in it, would bind a class to nothing, or to no place.
-    for (name, places) in [("ZonesAllowed", &class.zones), ("AllowedOn", &class.machine_classes)] {
-        if *places == Field::Invalid {
+    // A bare name or a non-string entry would leave the class without any allowed endpoint.
+    for (name, allowed) in [("ZonesAllowed", &class.zones), ("AllowedOn", &class.machine_classes)] {
+        if *allowed == Field::Invalid {
             return Err(SettingsError::NotNames(key(name)));
         }
     }
@@ -98,7 +98,7 @@
 fn validate_reporting(settings: &WireSettings) -> Result<(), SettingsError> {
     const KEY: &str = "Reporting.Via";
     let via = &settings.reporting.via;
-    if !via.is_absent_or(&REPORTING) {
+    if !via.is_absent_or(&REPORTING_METHODS) {
         return Err(SettingsError::UnknownReporting(KEY));
     }
     if via.text() == Some("pull") && !settings.limits.probes.is_set() {
@@ -122,7 +122,7 @@
     Err(SettingsError::NotPositive(key()))
 }
 
-fn require_not_negative(field: &Field<Number>, key: impl Fn() -> String) -> Result<(), SettingsError> {
+fn require_non_negative(field: &Field<Number>, key: impl Fn() -> String) -> Result<(), SettingsError> {
     if *field == Field::Absent || field.number().is_some_and(|number| number >= 0.0) {
         return Ok(());
     }
--- a/src/settings/wire.rs
+++ b/src/settings/wire.rs
@@ -1,17 +1,17 @@
-//! The settings as they stand on the wire. Nothing here fails: a value of the wrong type becomes
-//! [`Field::Invalid`], so that whoever reads the settings decides what that means.
+//! The wire format of the settings. Decoding never fails: a value of the wrong type becomes
+//! [`Field::Invalid`], and each reader decides how to treat it.
 
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Deserializer};
 use serde_json::Value;
 
-/// One value of the settings; `null` stands for absent.
+/// A value of the settings; `null` counts as absent.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub(super) enum Field<T> {
     #[default]
     Absent,
     Valid(T),
-    /// Of another type than the setting's.
+    /// The value has the wrong type.
     Invalid,
 }
 
@@ -25,7 +25,7 @@
 }
 
 impl Field<Number> {
-    /// The number, where a flag counts as 1 or 0.
+    /// The value as a number; a boolean counts as 1 or 0.
     pub(super) fn number_or_flag(&self) -> Option<f64> {
         match self.valid()? {
             Number::Flag(flag) => Some(f64::from(u8::from(*flag))),
@@ -33,7 +33,7 @@
         }
     }
 
-    /// The number, where it is no flag.
+    /// The value if it is a number, not a boolean.
     pub(super) fn number(&self) -> Option<f64> {
         match self.valid()? {
             Number::Flag(_) => None,
@@ -41,7 +41,7 @@
         }
     }
 
-    /// Whether it is set, and neither `false` nor zero, as a whole number or with decimals.
+    /// Whether the value is present and neither `false` nor zero, integer or floating-point.
     pub(super) fn is_set(&self) -> bool {
         match self {
             Field::Absent => false,
@@ -57,7 +57,7 @@
         self.valid().map(String::as_str)
     }
 
-    /// Whether it is absent or one of these words.
+    /// Whether the value is absent or one of these words.
     pub(super) fn is_absent_or(&self, words: &[&str]) -> bool {
         match self {
             Field::Absent => true,
@@ -77,7 +77,7 @@
     }
 }
 
-/// A number, or a flag.
+/// A number or a boolean.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(untagged)]
 pub(super) enum Number {
@@ -85,23 +85,23 @@
     Number(serde_json::Number),
 }
 
-/// A name that is not empty.
+/// A non-empty name.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(try_from = "String")]
-pub(super) struct PlaceName(pub(super) String);
+pub(super) struct NonEmptyName(pub(super) String);
 
-impl TryFrom<String> for PlaceName {
+impl TryFrom<String> for NonEmptyName {
     type Error = &'static str;
 
     fn try_from(name: String) -> Result<Self, Self::Error> {
         if name.is_empty() {
-            return Err("a name is empty");
+            return Err("name is empty");
         }
-        Ok(PlaceName(name))
+        Ok(NonEmptyName(name))
     }
 }
 
-/// A list of named entries. Unlike for [`Field`], `null` is a value and no list.
+/// A list of named entries. Unlike in [`Field`], `null` is invalid.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub(super) enum List<T> {
     #[default]
@@ -124,11 +124,11 @@
         let Value::Array(entries) = Value::deserialize(deserializer)? else {
             return Ok(List::Invalid);
         };
-        Ok(List::Valid(entries.into_iter().map(Named::read).collect()))
+        Ok(List::Valid(entries.into_iter().map(Named::from_value).collect()))
     }
 }
 
-/// An entry that is known by its name.
+/// A list entry with its name.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub(super) struct Named<T> {
     pub(super) name: String,
@@ -136,10 +136,10 @@
 }
 
 impl<T: DeserializeOwned + Default> Named<T> {
-    /// An entry may be the bare name. One without a name has the empty one.
-    fn read(entry: Value) -> Self {
+    /// An entry may be a bare name. An entry without a name has an empty name.
+    fn from_value(entry: Value) -> Self {
         let name = entry.as_str().or_else(|| entry.get("Name")?.as_str()).unwrap_or_default().to_string();
-        Named { name, entry: object(entry) }
+        Named { name, entry: from_object(entry) }
     }
 }
 
@@ -152,7 +152,7 @@
     #[serde(rename = "MyNumber")]
     pub(super) proxy_number: Field<Number>,
     pub(super) my_zone: Field<String>,
-    pub(super) zones: List<Empty>,
+    pub(super) zones: List<NameOnly>,
     pub(super) discovery: Field<String>,
     #[serde(rename = "ExcessBenefit")]
     pub(super) over_quota_weight: Field<Number>,
@@ -160,27 +160,27 @@
     pub(super) classes: List<WireClass>,
     #[serde(rename = "Customers")]
     pub(super) tenants: List<WireTenant>,
-    #[serde(deserialize_with = "section")]
+    #[serde(deserialize_with = "deserialize_section")]
     pub(super) limits: WireLimits,
-    #[serde(deserialize_with = "section")]
+    #[serde(deserialize_with = "deserialize_section")]
     pub(super) obligations: WireObligations,
-    #[serde(deserialize_with = "section")]
+    #[serde(deserialize_with = "deserialize_section")]
     pub(super) fees: WireFees,
-    #[serde(deserialize_with = "section")]
+    #[serde(deserialize_with = "deserialize_section")]
     pub(super) specifics: WireSpecifics,
-    #[serde(deserialize_with = "section")]
+    #[serde(deserialize_with = "deserialize_section")]
     pub(super) reporting: WireReporting,
 }
 
 impl WireSettings {
-    pub(super) fn read(settings: &Value) -> Self {
-        object(settings.clone())
+    pub(super) fn parse(settings: &Value) -> Self {
+        from_object(settings.clone())
     }
 }
 
-/// An entry of which only the name matters.
+/// An entry that has only a name.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize)]
-pub(super) struct Empty {}
+pub(super) struct NameOnly {}
 
 #[derive(Clone, Debug, Default, PartialEq, Deserialize)]
 #[serde(default)]
@@ -265,9 +265,9 @@
     #[serde(rename = "LateBenefit")]
     pub(super) late_weight: Field<Number>,
     #[serde(rename = "ZonesAllowed")]
-    pub(super) zones: Field<Vec<PlaceName>>,
+    pub(super) zones: Field<Vec<NonEmptyName>>,
     #[serde(rename = "AllowedOn")]
-    pub(super) machine_classes: Field<Vec<PlaceName>>,
+    pub(super) machine_classes: Field<Vec<NonEmptyName>>,
 }
 
 #[derive(Clone, Debug, Default, PartialEq, Deserialize)]
@@ -279,14 +279,16 @@
     pub(super) share: Field<Number>,
 }
 
-/// Reads an object; anything else counts as an empty one.
-fn object<T: DeserializeOwned + Default>(value: Value) -> T {
+/// Deserializes an object; any other value counts as an empty object.
+fn from_object<T: DeserializeOwned + Default>(value: Value) -> T {
     if !value.is_object() {
         return T::default();
     }
     serde_json::from_value(value).unwrap_or_default()
 }
 
-fn section<'de, D: Deserializer<'de>, T: DeserializeOwned + Default>(deserializer: D) -> Result<T, D::Error> {
-    Value::deserialize(deserializer).map(object)
+fn deserialize_section<'de, D: Deserializer<'de>, T: DeserializeOwned + Default>(
+    deserializer: D,
+) -> Result<T, D::Error> {
+    Value::deserialize(deserializer).map(from_object)
 }
