--- a/bench-adapter/src/decisions.rs
+++ b/bench-adapter/src/decisions.rs
@@ -1,11 +1,11 @@
-//! From the balancer's actions to decisions on the wire.
+//! Encodes the balancer's actions as decisions in the wire format.
 
 use crate::requests::RequestTable;
 use crankmux::settings::NameIndex;
 use crankmux::types::{Actions, EndpointId, RequestId};
 use serde_json::{json, Value};
 
-/// Appends the actions of one instance to the decisions of a batch.
+/// Appends the actions of an instance's balancer to the decisions of a batch.
 pub(crate) struct DecisionWriter<'a> {
     pub(crate) instance: u64,
     pub(crate) names: &'a NameIndex,
--- a/bench-adapter/src/error.rs
+++ b/bench-adapter/src/error.rs
@@ -1,28 +1,28 @@
-//! What can be wrong with the bench's input.
+//! Errors in the input of the adapter.
 
 use crankmux::settings::SettingsError;
 use std::io;
 
-/// A fault that ends the adapter.
+/// An error that terminates the adapter.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum AdapterError {
-    #[error("batch cannot be read")]
+    #[error("cannot read a batch")]
     Read(#[source] io::Error),
-    #[error("reply not written")]
+    #[error("cannot write a reply")]
     Write(#[source] io::Error),
     #[error("batch is not valid JSON")]
     InvalidJson(#[source] serde_json::Error),
-    #[error("batch lacks its clock NowMs")]
+    #[error("batch: NowMs is missing or not a number")]
     MissingClock,
-    #[error("news of the batch is not an array")]
+    #[error("batch: news is not an array")]
     EventsNotAnArray,
-    #[error("an event is not an array")]
+    #[error("event is not an array")]
     EventNotAnArray,
-    #[error("an event lacks its name")]
+    #[error("event has no name")]
     MissingEventName,
-    #[error("Announce: an entry is not an array")]
+    #[error("Announce: entry is not an array")]
     EntryNotAnArray,
-    #[error("{message}: {field} is missing or of the wrong form")]
+    #[error("{message}: {field} is missing or invalid")]
     InvalidField {
         message: String,
         field: &'static str,
--- a/bench-adapter/src/main.rs
+++ b/bench-adapter/src/main.rs
@@ -1,5 +1,5 @@
-//! Adapter between the bench's wire and the decision module: one batch a line in, one reply a line out.
-//! It decodes into calls, encodes from what the calls give, and decides nothing.
+//! Adapter between the bench's wire format and the balancer: reads one batch of events per line, and writes one
+//! line of decisions for each. Makes no decisions of its own.
 
 mod decisions;
 mod error;
@@ -18,7 +18,7 @@
     match run() {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
-            let message = with_sources(&error).replace('\n', " ");
+            let message = error_chain(&error).replace('\n', " ");
             eprintln!("crankmux-bench-adapter: {message}");
             ExitCode::FAILURE
         }
@@ -30,7 +30,7 @@
     let mut replies = io::stdout().lock();
     for line in io::stdin().lock().lines() {
         let line = line.map_err(AdapterError::Read)?;
-        let reply = answer(&mut instances, &line)?;
+        let reply = handle_batch(&mut instances, &line)?;
         writeln!(replies, "{reply}")
             .and_then(|()| replies.flush())
             .map_err(AdapterError::Write)?;
@@ -38,8 +38,8 @@
     Ok(())
 }
 
-/// Applies the events of a batch in their order, and replies with what is decided on them.
-fn answer(instances: &mut Instances, line: &str) -> Result<Value, AdapterError> {
+/// Applies the events of a batch in order, and returns the reply with the resulting decisions.
+fn handle_batch(instances: &mut Instances, line: &str) -> Result<Value, AdapterError> {
     let batch: Value = serde_json::from_str(line).map_err(AdapterError::InvalidJson)?;
     let now_ms = batch.get("NowMs").and_then(Value::as_f64);
     let now_ms = now_ms.ok_or(AdapterError::MissingClock)?;
@@ -55,8 +55,8 @@
     Ok(json!({ "decisions": decisions }))
 }
 
-/// The text of an error with those of its sources.
-fn with_sources(error: &AdapterError) -> String {
+/// The message of an error, followed by those of its sources.
+fn error_chain(error: &AdapterError) -> String {
     let mut text = error.to_string();
     let mut source = error.source();
     while let Some(cause) = source {
--- a/bench-adapter/src/requests.rs
+++ b/bench-adapter/src/requests.rs
@@ -1,17 +1,17 @@
-//! The requests of one instance: the bench's ids, and the indices that the decisions know them by.
+//! The requests of an instance: maps the bench's ids to the balancer's indices.
 
 use crankmux::types::RequestId;
 use std::collections::{BTreeMap, HashMap};
 
-/// A request that the bench may still speak of.
+/// A request that later events may refer to.
 struct KnownRequest {
     id: u64,
     attempts_in_flight: usize,
-    /// It has its final answer.
+    /// Whether the client has received the final response.
     closed: bool,
 }
 
-/// The known requests, by id and by index. An index is never used again.
+/// The known requests, by id and by index. Indices are never reused.
 #[derive(Default)]
 pub(crate) struct RequestTable {
     by_id: HashMap<u64, RequestId>,
@@ -20,7 +20,7 @@
 }
 
 impl RequestTable {
-    /// A request has come in; returns its index.
+    /// Adds a request, and returns its index.
     pub(crate) fn insert(&mut self, id: u64) -> RequestId {
         let request_id = RequestId::new(self.next_index);
         self.next_index += 1;
@@ -38,7 +38,7 @@
         self.by_id.get(&id).copied()
     }
 
-    /// The bench's id of a request; 0 where it is forgotten.
+    /// The bench's id of a request; 0 if the request is unknown.
     pub(crate) fn id(&self, request_id: RequestId) -> u64 {
         self.by_index
             .get(&request_id)
@@ -62,11 +62,11 @@
         if let Some(request) = self.by_index.get_mut(&request_id) {
             request.closed = true;
         }
-        self.forget_if_done(request_id);
+        self.remove_if_done(request_id);
     }
 
-    /// Forgets a request that has its final answer, once no attempt is in flight for it.
-    pub(crate) fn forget_if_done(&mut self, request_id: RequestId) {
+    /// Removes a request if its client has the final response and no attempt is in flight.
+    pub(crate) fn remove_if_done(&mut self, request_id: RequestId) {
         let Some(request) = self.by_index.get(&request_id) else {
             return;
         };
