--- a/operator-config/src/cluster.rs
+++ b/operator-config/src/cluster.rs
@@ -1,4 +1,4 @@
-//! The section `[cluster]`: how a proxy takes part in its cluster.
+//! The `[cluster]` section: membership of the proxy cluster.
 
 use crate::section_reader::{Located, Section};
 use crate::{DurationSetting, ErrorKind, SizeSetting};
@@ -6,53 +6,53 @@
 use std::ops::RangeInclusive;
 use std::time::Duration;
 
-/// The longest name of a proxy or zone, in bytes: one datagram carries several.
+/// The longest name of a proxy or zone, in bytes. A datagram carries several names.
 const MAX_NAME_LENGTH: usize = 64;
-/// One key file, or two while a key is rotated.
-const KEY_FILES: RangeInclusive<usize> = 1..=2;
-/// Whoever comes back within a day is known as the one that was lost.
+/// One key file, or two during a key rotation.
+const KEY_FILE_COUNT: RangeInclusive<usize> = 1..=2;
+/// A member that returns within a day is recognized as the one that failed.
 const DEFAULT_FORGET_FAILED: Duration = Duration::from_secs(24 * 60 * 60);
-/// A member that is cut off for a while, and sends requests, must still be counted.
+/// A partitioned member may still send requests, so it must be counted for a while.
 const MIN_FORGET_FAILED: Duration = Duration::from_secs(60);
-/// Some two hundred datagrams: those of several seconds.
+/// Room for about 200 datagrams: several seconds of traffic.
 const DEFAULT_RECEIVE_BUFFER_BYTES: u64 = 256 * 1024;
 const RECEIVE_BUFFER_BYTES: RangeInclusive<u64> = 16 * 1024..=64 * 1024 * 1024;
 
-/// How a proxy takes part in its cluster.
+/// The options of the `[cluster]` section.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ClusterOptions {
-    /// The section's name as the file writes it, for messages that name a key.
+    /// The section's name as written in the file, for messages that name a key.
     pub section_name: &'static str,
-    /// The proxy's name; the platform's where none is given.
+    /// The proxy's name; `None` for the one from the platform.
     pub name: Option<String>,
-    /// The proxy's zone; the platform's where none is given.
+    /// The proxy's zone; `None` for the one from the platform.
     pub zone: Option<String>,
-    /// Where it receives datagrams.
+    /// The address to receive datagrams at.
     pub listen: SocketAddr,
-    /// Where the others reach it.
+    /// The address that other proxies send to.
     pub advertise: SocketAddr,
-    /// Addresses to ask at the start; any may be down.
+    /// Addresses of members to contact at startup, some of which may be down.
     pub seeds: Vec<SocketAddr>,
-    /// Files of the cluster's keys: the first authenticates what is sent, each is accepted in what is received.
+    /// Files of the cluster's keys. Datagrams are sent with the first key, and accepted with any.
     pub key_files: Vec<String>,
-    /// How long a member that failed is still counted.
+    /// How long a failed member is still counted.
     pub forget_failed: Duration,
-    /// What the system holds of datagrams that are not read yet.
+    /// The size of the socket's receive buffer.
     pub receive_buffer_bytes: u64,
 }
 
 impl ClusterOptions {
     /// The section's name.
     pub const SECTION_NAME: &'static str = "cluster";
-    /// The section's earlier name, which is still read.
+    /// The section's deprecated name, which is still accepted.
     pub const DEPRECATED_SECTION_NAME: &'static str = "fleet";
 
-    /// Whether the file uses the section's earlier name.
+    /// Whether the file uses the section's deprecated name.
     pub fn has_deprecated_name(&self) -> bool {
         self.section_name == Self::DEPRECATED_SECTION_NAME
     }
 
-    /// Reads the section. Every key is read, so that all errors are reported, before a missing one ends it.
+    /// Reads the section. Reads every key before it returns on a missing one, so that all errors are reported.
     pub(crate) fn read(section: &mut Section, section_name: &'static str) -> Option<Self> {
         let name = read_name(section, "name");
         let zone = read_name(section, "zone");
@@ -81,18 +81,18 @@
 fn read_name(section: &mut Section, key: &'static str) -> Option<String> {
     let name: Located<String> = section.optional(key)?;
     if name.value.is_empty() || name.value.len() > MAX_NAME_LENGTH {
-        let most = MAX_NAME_LENGTH;
-        section.error(name.offset, key, ErrorKind::NameLength { most });
+        let max = MAX_NAME_LENGTH;
+        section.error(name.offset, key, ErrorKind::NameLength { max });
     }
     Some(name.value)
 }
 
-/// Whether others can send to an address: an unspecified one is every machine's own.
+/// Whether other proxies can send to an address: it needs a specific IP address and a port.
 fn is_reachable(address: &SocketAddr) -> bool {
     !address.ip().is_unspecified() && address.port() != 0
 }
 
-/// Others send to the advertised address, or without one to that which is listened at.
+/// Checks the address that other proxies send to: `advertise`, or `listen` without it.
 fn check_reachable(
     section: &Section,
     listen: Option<&Located<SocketAddr>>,
@@ -120,7 +120,7 @@
 
 fn read_key_files(section: &mut Section) -> Option<Vec<String>> {
     let files: Located<Vec<String>> = section.required("key-files")?;
-    if !KEY_FILES.contains(&files.value.len()) {
+    if !KEY_FILE_COUNT.contains(&files.value.len()) {
         section.error(files.offset, "key-files", ErrorKind::KeyFileCount);
     }
     Some(files.value)
--- a/operator-config/src/error.rs
+++ b/operator-config/src/error.rs
@@ -1,14 +1,14 @@
-//! What can be wrong with an operator configuration.
+//! Errors in an operator configuration file.
 
-/// One thing that is wrong with a file, and where.
+/// An error in the file, with its location.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("line {line}: {}{kind}", key_prefix(key))]
 pub struct ConfigurationError {
-    /// Counted from 1.
+    /// The line number, from 1.
     pub line: usize,
-    /// With its section, as `cluster.seeds`; empty where the text itself is faulty.
+    /// The key with its section, such as `cluster.seeds`; empty for a syntax error.
     pub key: String,
-    /// What is wrong there.
+    /// The kind of error.
     #[source]
     pub kind: ErrorKind,
 }
@@ -21,70 +21,70 @@
     }
 }
 
-/// What is wrong with a key or its value.
+/// A kind of error.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ErrorKind {
-    /// The text is no TOML.
+    /// The text is not valid TOML.
     #[error("{message}")]
     Syntax {
-        /// What the parser says.
+        /// The parser's message.
         message: String,
     },
-    /// No such key, but one of nearly that name.
+    /// The key is unknown but similar to a known one.
     #[error("is not known; {nearest} is meant?")]
     MisspelledKey {
-        /// The key of the nearest name.
+        /// The most similar known key.
         nearest: &'static str,
     },
-    /// No such key.
-    #[error("is not known here; known are {}", known.join(", "))]
+    /// The key is unknown.
+    #[error("is not known; known keys are {}", known.join(", "))]
     UnknownKey {
         /// All keys of the section.
         known: Vec<&'static str>,
     },
-    /// A key that must be there is not.
+    /// A required key is missing.
     #[error("is missing")]
     Missing,
-    /// The value cannot be read as what the key takes.
+    /// The value is invalid for the key.
     #[error("{message}")]
     InvalidValue {
-        /// What its reader says.
+        /// The deserializer's message.
         message: String,
     },
-    /// The key names a section, but has a plain value.
-    #[error("is a section, not {found}")]
+    /// The key of a section has a value of another type.
+    #[error("must be a section, not {found}")]
     NotASection {
         /// The value's type.
         found: &'static str,
     },
-    /// A section stands there twice, under its name and a deprecated one.
-    #[error("is the deprecated name of {name}, which is there too")]
+    /// A section is present under both its name and its deprecated name.
+    #[error("is the deprecated name of {name}, which is present too")]
     BothNames {
         /// The section's name.
         name: &'static str,
     },
-    /// A name is empty, or longer than a datagram has room for.
-    #[error("has 1 to {most} bytes")]
+    /// A name is empty or too long.
+    #[error("must have 1 to {max} bytes")]
     NameLength {
-        /// The longest that is allowed.
-        most: usize,
+        /// The maximum length.
+        max: usize,
     },
-    /// The advertised address is every machine's own, or has no port.
-    #[error("is no address at which others reach this node")]
+    /// The advertised address is unspecified or has port 0.
+    #[error("is not an address at which other proxies can reach this one")]
     UnreachableAdvertise,
-    /// Without an advertised address others use the one that is listened at, and cannot reach it.
-    #[error("needs advertise beside it: nobody reaches such an address")]
+    /// There is no advertised address, and the listening address is unspecified or has port 0.
+    #[error("is not an address at which other proxies can reach this one; set advertise")]
     UnreachableListen,
-    /// A seed's address is every machine's own, or has no port.
-    #[error("has one that is nobody's address")]
+    /// A seed's address is unspecified or has port 0.
+    #[error("contains an unspecified address or port 0")]
     UnreachableSeed,
-    /// Neither one key file nor two.
-    #[error("names one file, or two while a key is exchanged")]
+    /// The number of key files is neither one nor two.
+    #[error("must name one file, or two during a key rotation")]
     KeyFileCount,
-    /// A member that failed would be forgotten while it may only be cut off.
-    #[error("is a minute at least")]
+    /// Failed members would be forgotten while they may only be partitioned.
+    #[error("must be at least 1min")]
     ForgetFailedTooShort,
     /// The receive buffer is too small or too large.
-    #[error("is 16KiB to 64MiB")]
+    #[error("must be 16KiB to 64MiB")]
     ReceiveBufferSize,
 }
--- a/operator-config/src/lib.rs
+++ b/operator-config/src/lib.rs
@@ -1,6 +1,7 @@
-//! The operator's own file: what a proxy does beyond what its platform sets. TOML, accepted whole or not at all:
-//! every error is reported at once, each with its line and key, an unknown key with the nearest known one. Free of
-//! I/O; without a file every option is off. `deploy/operator-config.toml` is an example.
+//! Parser of the operator configuration, a TOML file that enables optional features of a proxy. A file with errors
+//! is rejected, and all its errors are reported with their line and key. Does no I/O.
+//!
+//! `deploy/operator-config.toml` is an example.
 
 mod cluster;
 mod error;
@@ -11,19 +12,19 @@
 pub use error::{ConfigurationError, ErrorKind};
 pub use units::{DurationSetting, SizeSetting};
 
-/// What an operator's file turns on; a section that it does not have is off.
+/// An operator configuration. Features without a section are off.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct OperatorConfig {
-    /// How the proxy takes part in its cluster.
+    /// Membership of the proxy cluster.
     pub cluster: Option<ClusterOptions>,
 }
 
 impl OperatorConfig {
-    /// Parses a file's text.
+    /// Parses the text of a configuration file.
     ///
     /// # Errors
     ///
-    /// All that is wrong with it, by line.
+    /// All errors in the file, sorted by line.
     pub fn parse(text: &str) -> Result<Self, Vec<ConfigurationError>> {
         section_reader::parse(text, |document| {
             let section = document.renamed_section(
--- a/operator-config/src/section_reader.rs
+++ b/operator-config/src/section_reader.rs
@@ -1,4 +1,4 @@
-//! A table of the file, whose keys are taken out one by one: what is left was not known.
+//! Reads a table of the file by removing known keys; the remaining keys are unknown.
 
 use crate::{ConfigurationError, ErrorKind};
 use serde::Deserialize;
@@ -7,38 +7,38 @@
 use toml::de::{DeTable, DeValue, ValueDeserializer};
 use toml::Spanned;
 
-/// A known key that is shorter counts as this long.
+/// Shorter known keys are compared as if they had this length.
 const MIN_COMPARED_LENGTH: usize = 6;
-/// A key is a misspelled one where it differs from a known key by at most one edit for so many letters.
+/// An unknown key counts as a misspelling of a known key if it has at most one edit per this many letters.
 const LETTERS_PER_EDIT: usize = 3;
 
-/// The errors found so far, by line.
-struct ErrorLog {
-    /// The offset at which each line begins.
+/// Collects errors, with their line numbers.
+struct ErrorCollector {
+    /// The offset of the start of each line.
     line_starts: Vec<usize>,
     errors: RefCell<Vec<ConfigurationError>>,
 }
 
-impl ErrorLog {
+impl ErrorCollector {
     fn new(text: &str) -> Self {
         let bytes = text.bytes().enumerate();
         let line_starts = bytes
             .filter(|(_, byte)| *byte == b'\n')
             .map(|(offset, _)| offset + 1);
-        ErrorLog {
+        ErrorCollector {
             line_starts: [0].into_iter().chain(line_starts).collect(),
             errors: RefCell::default(),
         }
     }
 
     fn add(&self, offset: usize, key: String, kind: ErrorKind) {
-        let lines_begun = self.line_starts.partition_point(|start| *start <= offset);
-        let line = lines_begun.max(1);
+        let lines_started = self.line_starts.partition_point(|start| *start <= offset);
+        let line = lines_started.max(1);
         let mut errors = self.errors.borrow_mut();
         errors.push(ConfigurationError { line, key, kind });
     }
 
-    /// All errors by line; those of one line in the order in which they were found.
+    /// Removes all errors, sorted by line and then in the order in which they were added.
     fn take_sorted(&self) -> Vec<ConfigurationError> {
         let mut errors = self.errors.take();
         errors.sort_by_key(|error| error.line);
@@ -46,39 +46,39 @@
     }
 }
 
-/// A value, and where in the text it stands.
+/// A value and its offset in the text.
 pub(crate) struct Located<T> {
     pub(crate) value: T,
     pub(crate) offset: usize,
 }
 
-/// A table of the file, or the whole of it.
+/// A section of the file, or the whole file.
 pub(crate) struct Section<'i> {
-    log: Rc<ErrorLog>,
+    collector: Rc<ErrorCollector>,
     /// Empty for the whole file.
     name: &'static str,
     offset: usize,
     table: DeTable<'i>,
     known: Vec<&'static str>,
-    /// Deprecated names that a misspelled key is compared with, but that no message lists.
+    /// Deprecated keys: suggested for misspelled keys, but not listed as known.
     deprecated: Vec<&'static str>,
 }
 
-/// Parses a text; `read` takes the keys of the whole file. Errors: all that is wrong, by line.
+/// Parses a file; `read` reads its top-level keys. On failure returns all errors, sorted by line.
 pub(crate) fn parse<T>(
     text: &str,
     read: impl FnOnce(&mut Section) -> Option<T>,
 ) -> Result<T, Vec<ConfigurationError>> {
-    let log = Rc::new(ErrorLog::new(text));
+    let collector = Rc::new(ErrorCollector::new(text));
     let (table, syntax_errors) = DeTable::parse_recoverable(text);
     for error in &syntax_errors {
         let offset = error.span().map_or(0, |span| span.start);
         let message = error.message().to_string();
-        log.add(offset, String::new(), ErrorKind::Syntax { message });
+        collector.add(offset, String::new(), ErrorKind::Syntax { message });
     }
-    let document = Section::new(Rc::clone(&log), "", 0, table.into_inner());
+    let document = Section::new(Rc::clone(&collector), "", 0, table.into_inner());
     let value = document.read_all_keys(read);
-    let errors = log.take_sorted();
+    let errors = collector.take_sorted();
     match value {
         Some(value) if errors.is_empty() => Ok(value),
         _ => Err(errors),
@@ -86,9 +86,14 @@
 }
 
 impl<'i> Section<'i> {
-    fn new(log: Rc<ErrorLog>, name: &'static str, offset: usize, table: DeTable<'i>) -> Self {
+    fn new(
+        collector: Rc<ErrorCollector>,
+        name: &'static str,
+        offset: usize,
+        table: DeTable<'i>,
+    ) -> Self {
         Section {
-            log,
+            collector,
             name,
             offset,
             table,
@@ -97,12 +102,12 @@
         }
     }
 
-    /// Its name as the file writes it.
+    /// The section's name as written in the file.
     pub(crate) fn name(&self) -> &'static str {
         self.name
     }
 
-    /// Has `read` take the keys; those that are left are errors.
+    /// Reads the keys with `read`, and reports the remaining ones as unknown.
     pub(crate) fn read_all_keys<T>(
         mut self,
         read: impl FnOnce(&mut Self) -> Option<T>,
@@ -129,14 +134,14 @@
         }
     }
 
-    /// Reports what is wrong with a key, at a place in the text.
+    /// Reports an error in a key at an offset of the text.
     pub(crate) fn error(&self, offset: usize, key: &str, kind: ErrorKind) {
         let path = if self.name.is_empty() {
             key.to_string()
         } else {
             format!("{}.{key}", self.name)
         };
-        self.log.add(offset, path, kind);
+        self.collector.add(offset, path, kind);
     }
 
     fn take(&mut self, key: &'static str) -> Option<Spanned<DeValue<'i>>> {
@@ -144,7 +149,7 @@
         self.table.remove(key)
     }
 
-    /// The value of a key; none where it is absent, or cannot be read, which is reported.
+    /// The value of a key; `None` if it is missing or invalid. Reports an invalid value.
     pub(crate) fn optional<T>(&mut self, key: &'static str) -> Option<Located<T>>
     where
         T: for<'de> Deserialize<'de>,
@@ -162,7 +167,7 @@
         }
     }
 
-    /// The value of a key that must be there.
+    /// The value of a key; `None` if it is missing or invalid. Reports both.
     pub(crate) fn required<T>(&mut self, key: &'static str) -> Option<Located<T>>
     where
         T: for<'de> Deserialize<'de>,
@@ -173,7 +178,7 @@
         self.optional(key)
     }
 
-    /// A section at the top of the file, under its name or a deprecated one; none where it is absent.
+    /// A top-level section under its name or its deprecated name; `None` if it is missing.
     pub(crate) fn renamed_section(
         &mut self,
         name: &'static str,
@@ -198,7 +203,12 @@
         let value = self.take(name)?;
         let offset = value.span().start;
         match value.into_inner() {
-            DeValue::Table(table) => Some(Section::new(Rc::clone(&self.log), name, offset, table)),
+            DeValue::Table(table) => Some(Section::new(
+                Rc::clone(&self.collector),
+                name,
+                offset,
+                table,
+            )),
             other => {
                 let found = other.type_str();
                 self.error(offset, name, ErrorKind::NotASection { found });
--- a/operator-config/tests/operator_config.rs
+++ b/operator-config/tests/operator_config.rs
@@ -1,10 +1,10 @@
-//! A file is accepted whole or not at all, and all that is wrong with it is reported by line and key. Each test
-//! runs under the section's name and under its deprecated one: the messages name the section as it was written.
+//! A file with errors is rejected, and all errors are reported with line and key. Most tests run with the
+//! section's name and with its deprecated name, as messages use the name in the file.
 
 use crankmux_operator_config::{ClusterOptions, ErrorKind, OperatorConfig};
 use std::time::Duration;
 
-const GOOD: &str = r#"
+const VALID: &str = r#"
 [cluster]
 zone = "north"
 listen = "0.0.0.0:7900"
@@ -17,14 +17,14 @@
 
 const SECTION_NAMES: [&str; 2] = ["cluster", "fleet"];
 
-/// The same text with the section under another name.
-fn under(section_name: &str, text: &str) -> String {
+/// Renames the section in a text.
+fn with_section_name(section_name: &str, text: &str) -> String {
     text.replace("[cluster]", &format!("[{section_name}]"))
 }
 
-/// What is reported of a text, whose section is under a name.
+/// The errors of a text after its section is renamed.
 fn errors(section_name: &str, text: &str) -> Vec<String> {
-    OperatorConfig::parse(&under(section_name, text))
+    OperatorConfig::parse(&with_section_name(section_name, text))
         .expect_err("errors")
         .iter()
         .map(ToString::to_string)
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn a_valid_file_is_read_and_what_it_does_not_name_is_off() {
+fn a_valid_file_is_read_and_a_missing_section_is_off() {
     for section_name in SECTION_NAMES {
         let expected = ClusterOptions {
             section_name,
@@ -53,7 +53,7 @@
             forget_failed: Duration::from_secs(7200),
             receive_buffer_bytes: 1024 * 1024,
         };
-        let options = parse(&under(section_name, GOOD));
+        let options = parse(&with_section_name(section_name, VALID));
         assert_eq!(options, expected);
         assert_eq!(options.has_deprecated_name(), section_name == "fleet");
     }
@@ -64,7 +64,7 @@
 }
 
 #[test]
-fn options_that_are_not_named_have_defaults() {
+fn missing_options_have_defaults() {
     let options =
         parse("[cluster]\nlisten = \"10.0.0.7:7900\"\nseeds = []\nkey-files = [\"cluster.key\"]\n");
     assert_eq!(options.advertise, options.listen);
@@ -73,7 +73,7 @@
 }
 
 #[test]
-fn every_error_is_reported_at_once_with_line_and_key_and_the_nearest_known_key() {
+fn all_errors_are_reported_with_line_key_and_nearest_known_key() {
     for section_name in SECTION_NAMES {
         let misspelled = &section_name[..section_name.len() - 1];
         let text = format!(
@@ -88,10 +88,10 @@
             format!("line 4: {section_name}.listen: "),
             format!("line 5: {section_name}.advertize: is not known; advertise is meant?"),
             format!("line 6: {section_name}.seeds: "),
-            format!("line 7: {section_name}.key-files: names one file"),
+            format!("line 7: {section_name}.key-files: must name one file"),
             format!("line 8: {section_name}.forget-failed: "),
-            format!("line 9: {section_name}.receive-buffer: is 16KiB"),
-            format!("line 10: {section_name}.colour: is not known here; known are name, zone"),
+            format!("line 9: {section_name}.receive-buffer: must be 16KiB"),
+            format!("line 10: {section_name}.colour: is not known; known keys are name, zone"),
         ];
         assert_eq!(reported.len(), expected.len(), "{reported:#?}");
         for (reported, start) in reported.iter().zip(&expected) {
@@ -115,53 +115,53 @@
 }
 
 #[test]
-fn addresses_that_nobody_reaches_are_rejected() {
+fn unreachable_addresses_are_rejected() {
     for section_name in SECTION_NAMES {
-        let without = GOOD.replace("advertise = \"10.0.0.7:7900\"\n", "");
+        let without = VALID.replace("advertise = \"10.0.0.7:7900\"\n", "");
         assert_eq!(
             errors(section_name, &without),
             [format!(
-                "line 4: {section_name}.listen: needs advertise beside it: nobody reaches such an address"
+                "line 4: {section_name}.listen: is not an address at which other proxies can reach this one; \
+                 set advertise"
             )]
         );
-        let nowhere = GOOD.replace("10.0.0.7", "0.0.0.0");
+        let unspecified = VALID.replace("10.0.0.7", "0.0.0.0");
         assert_eq!(
-            errors(section_name, &nowhere),
+            errors(section_name, &unspecified),
             [format!(
-                "line 5: {section_name}.advertise: is no address at which others reach this node"
+                "line 5: {section_name}.advertise: is not an address at which other proxies can reach this one"
             )]
         );
-        let seed = GOOD.replace("10.0.0.6:7900", "10.0.0.6:0");
+        let seed = VALID.replace("10.0.0.6:7900", "10.0.0.6:0");
         assert_eq!(
             errors(section_name, &seed),
             [format!(
-                "line 6: {section_name}.seeds: has one that is nobody's address"
+                "line 6: {section_name}.seeds: contains an unspecified address or port 0"
             )]
         );
     }
 }
 
 #[test]
-fn a_text_cut_short_or_garbled_anywhere_never_passes_for_another() {
+fn a_truncated_file_keeps_its_seeds_if_accepted_and_duplicates_are_rejected() {
     for section_name in SECTION_NAMES {
-        let text = under(section_name, GOOD);
-        let good = parse(&text);
-        let longest = text.trim_end().len();
-        for cut in 0..longest {
-            // What is cut between keys may be a shorter file that is valid: it lacks what must be there, or says
-            // no more than its lines say.
+        let text = with_section_name(section_name, VALID);
+        let complete = parse(&text);
+        let length = text.trim_end().len();
+        for cut in 0..length {
+            // A file cut between keys may still be valid: without the section, or without optional keys.
             if let Ok(config) = OperatorConfig::parse(&text[..cut]) {
                 let cluster = config.cluster.as_ref();
                 assert!(
-                    cluster.is_none_or(|cluster| cluster.seeds == good.seeds),
+                    cluster.is_none_or(|cluster| cluster.seeds == complete.seeds),
                     "cut at {cut}"
                 );
             }
         }
-        for twice in ["zone = \"b\"\n", &format!("[{section_name}]\n")] {
+        for duplicate in ["zone = \"b\"\n", &format!("[{section_name}]\n")] {
             assert!(
-                OperatorConfig::parse(&format!("{text}{twice}")).is_err(),
-                "{twice}"
+                OperatorConfig::parse(&format!("{text}{duplicate}")).is_err(),
+                "{duplicate}"
             );
         }
     }
@@ -169,19 +169,19 @@
 
 #[test]
 fn a_section_under_both_names_is_rejected() {
-    let both = format!("{GOOD}{}", under("fleet", GOOD));
+    let both = format!("{VALID}{}", with_section_name("fleet", VALID));
     let reported = OperatorConfig::parse(&both).expect_err("errors");
     assert_eq!(reported.len(), 1, "{reported:#?}");
     let kind = ErrorKind::BothNames { name: "cluster" };
     assert_eq!(reported[0].kind, kind);
     assert_eq!(
         reported[0].to_string(),
-        "line 11: fleet: is the deprecated name of cluster, which is there too"
+        "line 11: fleet: is the deprecated name of cluster, which is present too"
     );
 }
 
 #[test]
-fn a_section_that_is_not_known_is_compared_with_both_names_but_the_new_one_is_listed() {
+fn unknown_sections_are_compared_with_both_names_and_the_current_one_is_listed() {
     assert_eq!(
         errors("cluster", "[clutser]\n"),
         ["line 1: clutser: is not known; cluster is meant?"]
@@ -192,10 +192,10 @@
     );
     assert_eq!(
         errors("cluster", "colour = 1\n"),
-        ["line 1: colour: is not known here; known are cluster"]
+        ["line 1: colour: is not known; known keys are cluster"]
     );
     assert_eq!(
         errors("cluster", "cluster = 1\n"),
-        ["line 1: cluster: is a section, not integer"]
+        ["line 1: cluster: must be a section, not integer"]
     );
 }
