--- a/src/settings/error.rs
+++ b/src/settings/error.rs
@@ -38,16 +38,16 @@
     Negative(String),
     /// The list of request classes is missing or not a list.
     #[error("{0} is missing or no list")]
-    NoList(&'static str),
+    NotAList(&'static str),
     /// The deduplication scope of a request class is unknown.
     #[error("{0} is none of all, zone and cell")]
     UnknownScope(String),
     /// A list of zones or machine classes is not a list of names.
     #[error("{0} is no list of names")]
-    NotNames(String),
+    NotAListOfNames(String),
     /// The name of a request class is missing or empty.
     #[error("{0} is missing or no name")]
-    NoName(String),
+    MissingName(String),
     /// The load reporting method is unknown.
     #[error("{0} is none of piggyback, pull and silent")]
     UnknownReporting(&'static str),
--- a/src/settings/validation.rs
+++ b/src/settings/validation.rs
@@ -23,7 +23,7 @@
             require_non_negative(field, || format!("Customers.{index}.{name}"))?;
         }
     }
-    let List::Valid(classes) = &settings.classes else { return Err(SettingsError::NoList("Categories")) };
+    let List::Valid(classes) = &settings.classes else { return Err(SettingsError::NotAList("Categories")) };
     for (index, class) in classes.iter().enumerate() {
         validate_class(index, &class.entry)?;
     }
@@ -86,11 +86,11 @@
     // A bare name or a non-string entry would leave the class without any allowed endpoint.
     for (name, allowed) in [("ZonesAllowed", &class.zones), ("AllowedOn", &class.machine_classes)] {
         if *allowed == Field::Invalid {
-            return Err(SettingsError::NotNames(key(name)));
+            return Err(SettingsError::NotAListOfNames(key(name)));
         }
     }
     if class.name.text().is_none_or(str::is_empty) {
-        return Err(SettingsError::NoName(key("Name")));
+        return Err(SettingsError::MissingName(key("Name")));
     }
     Ok(())
 }
