--- a/src/balancer/admission.rs
+++ b/src/balancer/admission.rs
@@ -16,11 +16,11 @@
     pub fn request_arrived(&mut self, out: &mut dyn Actions, now_ms: f64, arrival: &NewRequest) {
         self.now_ms = now_ms;
         let (id, request) = (arrival.request, self.new_request(arrival));
-        let worthless_at_ms = request.worthless_at_ms;
+        let abandon_at_ms = request.abandon_at_ms;
         self.requests.insert(id, request);
         self.solve();
-        if worthless_at_ms < f64::MAX {
-            self.set_timer(out, worthless_at_ms, Timer::Worthless { request: id, at_ms: worthless_at_ms });
+        if abandon_at_ms < f64::MAX {
+            self.set_timer(out, abandon_at_ms, Timer::Abandon { request: id, at_ms: abandon_at_ms });
         }
         if !self.probe_candidates(out, id) {
             self.proceed(out, id);
@@ -29,20 +29,20 @@
 
     fn new_request(&mut self, arrival: &NewRequest) -> Request {
         let priority = self.priority(arrival);
-        let terms = Arc::clone(&self.classes[arrival.class.index()].settings);
+        let settings = Arc::clone(&self.classes[arrival.class.index()].settings);
         // Responses that slow clients read keep others from theirs. Where a late one is worth nothing and a
         // repeat is harmless, the request ends at its latency objective and its place is free.
-        let may_end = terms.late_weight <= 0.0 && terms.idempotency == Idempotency::Idempotent;
+        let may_end = settings.late_weight <= 0.0 && settings.idempotency == Idempotency::Idempotent;
         let ends_early = self.settings.few_buffered_responses && may_end;
-        let objective_at_ms = self.now_ms + terms.latency_objective_ms;
+        let objective_at_ms = self.now_ms + settings.latency_objective_ms;
         Request {
             class: arrival.class,
             // Where clocks differ a request with time left may look expired. Its sender keeps the real end.
             deadline_ms: self.now_ms + arrival.ttl_ms + self.settings.deadline_margin_ms,
-            worthless_at_ms: if ends_early { objective_at_ms } else { f64::MAX },
+            abandon_at_ms: if ends_early { objective_at_ms } else { f64::MAX },
             priority,
-            key: arrival.key.filter(|_| self.settings.key_affinity),
-            terms,
+            affinity_key: arrival.key.filter(|_| self.settings.key_affinity),
+            settings,
             max_attempts: self.settings.max_attempts,
             ..Request::default()
         }
@@ -57,10 +57,10 @@
         let Some(tenant) = tenant else { return priority };
         let rate = self.process_share * tenant.quota_per_ms / self.proxy_count;
         let capacity = (tenant.quota_per_ms * SAVED_QUOTA_MS / self.proxy_count).max(MIN_SAVED_REQUESTS);
-        tenant.budget.refill(self.now_ms, rate, capacity);
+        tenant.bucket.refill(self.now_ms, rate, capacity);
         // A client's retry belongs to its first request and is not counted again.
         let price = if arrival.client_retry { 0.0 } else { 1.0 };
-        let weight = if tenant.budget.take(price) { 1.0 } else { self.settings.over_quota_weight };
+        let weight = if tenant.bucket.try_take(price) { 1.0 } else { self.settings.over_quota_weight };
         priority * weight
     }
 
@@ -69,8 +69,8 @@
     pub(super) fn admits(&mut self, id: RequestId) -> bool {
         let request = &self.requests[&id];
         let open = OPEN_TO_ALL + KEPT_FOR_PRIORITY * request.priority.sqrt();
-        let overload = self.utilization_against_limits() / open;
-        if overload <= 1.0 || request.may_have_run() {
+        let overload = self.admission_utilization() / open;
+        if overload <= 1.0 || request.may_have_executed() {
             return true;
         }
         // Reports may be old. Were all requests shed, the fleet would empty, then jam: chance lets some in.
--- a/src/balancer/endpoint_list.rs
+++ b/src/balancer/endpoint_list.rs
@@ -4,7 +4,7 @@
 use crate::state::Endpoint;
 use crate::types::{Actions, EndpointId, EndpointState, EndpointUpdate};
 
-pub(super) const INITIAL_LIMIT: f64 = 5.0; // for all proxies together: neither starved nor flooded
+pub(super) const INITIAL_CONCURRENCY_LIMIT: f64 = 5.0; // for all proxies together
 const MIN_NOTIFIED_MS: f64 = 50.0;
 const MAX_NOTIFIED_MS: f64 = 1200.0;
 const MIN_BACKOFF_MS: f64 = 50.0;
@@ -48,13 +48,13 @@
             self.probes.remove(&id);
             endpoint.replace_process(self.started_endpoint(update.stable_hash, listed_ms));
         }
-        endpoint.apply(update);
+        endpoint.apply_update(update);
         self.endpoints.insert(id, endpoint);
     }
 
     fn started_endpoint(&self, stable_hash: u64, started_at_ms: f64) -> Endpoint {
         let error_ms = self.settings.start_time_error_ms;
-        let mut endpoint = Endpoint::new(stable_hash, INITIAL_LIMIT, self.now_ms);
+        let mut endpoint = Endpoint::new(stable_hash, INITIAL_CONCURRENCY_LIMIT, self.now_ms);
         endpoint.started_at_ms = started_at_ms;
         // Where clocks differ an endpoint that is warming up may be listed as warm: it started before that.
         let latest_ms = (started_at_ms + error_ms).min(self.now_ms);
--- a/src/balancer/estimator.rs
+++ b/src/balancer/estimator.rs
@@ -1,78 +1,78 @@
-//! Learning from results: how fast endpoints are, how often they fail, what they bear and may hold.
+//! Updates the estimates of latency, error rate, throughput and concurrency limit from attempt results.
 
-use super::endpoint_list::INITIAL_LIMIT;
+use super::endpoint_list::INITIAL_CONCURRENCY_LIMIT;
 use super::Balancer;
-use crate::moving_average::{decay, fade, follow_95th_percentile, follow_minimum, mean, smooth};
-use crate::state::{Endpoint, Evidence, PendingAttempt, THROUGHPUT_OVER_MS};
+use crate::moving_average::{decay_factor, decay_towards, mean, smooth, update_minimum, update_p95};
+use crate::state::{Endpoint, Observation, PendingAttempt, THROUGHPUT_TIME_CONSTANT_MS};
 use crate::types::{AttemptOutcome, AttemptResult, ClassId, EndpointId, LoadReport};
 
-pub(super) const INITIAL_LATENCY: f64 = 0.25; // of the objective, set at a few times the ordinary one
+pub(super) const INITIAL_LATENCY_FRACTION: f64 = 0.25; // of the latency objective
 pub(super) const INITIAL_TAIL_MULTIPLE: f64 = 2.0;
-const TAIL_MULTIPLES: (f64, f64) = (1.5, 8.0);
-const TAIL_STEP: f64 = 0.05; // of the multiple
-const WARM_FADES_OVER_MS: f64 = 60_000.0;
-const MIN_WEIGHT: f64 = 0.1; // follows a slowed endpoint within ten attempts, and evens out heavy requests
-const MAX_WEIGHT: f64 = 0.5; // after a silence
-const SILENCE_MS: f64 = 2000.0; // the silence before a sample over this is its weight
+const TAIL_MULTIPLE_BOUNDS: (f64, f64) = (1.5, 8.0);
+const TAIL_MULTIPLE_STEP: f64 = 0.05; // as a fraction of the multiple
+const WARM_THROUGHPUT_TIME_CONSTANT_MS: f64 = 60_000.0;
+const MIN_WEIGHT: f64 = 0.1; // averages over about ten attempts
+const MAX_WEIGHT: f64 = 0.5;
+const FULL_WEIGHT_IDLE_MS: f64 = 2000.0; // the weight is the time since the last response divided by this
 const MIN_CLASS_WEIGHT: f64 = 0.002;
 const BEST_LATENCY_WEIGHT: f64 = 0.005;
-const MAX_SAMPLE: f64 = 10.0; // times the average
-const LIMITS_IN_USE: f64 = 0.6; // above this utilization limits may grow
-const SHARE_IN_USE: f64 = 0.5; // of the limit, for this proxy alone: its share may be under one attempt
-const MAX_LIMIT: f64 = 1000.0;
-const GENTLE_CUT: f64 = 0.9;
-const HARD_CUT: f64 = 0.7;
-const CROWDED_STRETCH: f64 = 3.0; // times the usual latency at the endpoint's best
-const FADES_AFTER_MS: f64 = 1000.0;
-const IDLE_REPORT_AGE_MS: f64 = 5000.0;
-const FREE_CORES_REPORT_AGE_MS: f64 = 2000.0;
-const FREE_CORES_UTILIZATION: f64 = 0.75;
+const MAX_SAMPLE_RATIO: f64 = 10.0; // to the average
+const LIMIT_GROWTH_UTILIZATION: f64 = 0.6; // of the subset; limits grow only above this
+const LIMIT_GROWTH_SHARE: f64 = 0.5; // of this proxy's share of a limit; it grows only at or above this
+const MAX_CONCURRENCY_LIMIT: f64 = 1000.0;
+const SMALL_DECREASE: f64 = 0.9;
+const LARGE_DECREASE: f64 = 0.7;
+const MAX_SLOWDOWN: f64 = 3.0; // relative to the endpoint's best latency; above it the limit is decreased
+const STALE_AFTER_MS: f64 = 1000.0;
+const MAX_QUEUE_REPORT_AGE_MS: f64 = 5000.0;
+const MAX_CPU_REPORT_AGE_MS: f64 = 2000.0;
+const FREE_CPU_UTILIZATION: f64 = 0.75; // below this the CPU can't be the cause of a delay
 
 impl Balancer {
-    /// Takes over a load report. It is repeated until it is renewed: only a changed value tells a new one.
-    pub(super) fn take_report(&mut self, endpoint: EndpointId, report: LoadReport) {
+    /// Stores a load report unless it repeats the last one, as endpoints do until they refresh it.
+    pub(super) fn update_report(&mut self, endpoint: EndpointId, report: LoadReport) {
         let Some(endpoint) = self.endpoints.get_mut(&endpoint) else { return };
         if report != LoadReport::default() && report != endpoint.report {
-            endpoint.take_report(report, self.now_ms, 0.0);
+            endpoint.update_report(report, self.now_ms, 0.0);
         }
     }
 
-    /// Learns from a result, while the attempt still counts as in flight: it was part of what the limit held.
+    /// Updates the statistics. The attempt must still count as in flight, as it used a part of the limit.
     pub(super) fn learn(&mut self, attempt: &PendingAttempt, result: &AttemptResult) {
-        let Some(evidence) = self.evidence(attempt, result) else { return };
-        if evidence.succeeded() {
-            self.learn_latency(attempt.class, &evidence);
+        let Some(observation) = self.observe(attempt, result) else { return };
+        if observation.succeeded() {
+            self.learn_latency(attempt.class, &observation);
         }
         let Some(endpoint) = self.endpoints.get_mut(&attempt.endpoint) else { return };
-        endpoint.learn_errors(&evidence, self.now_ms);
-        endpoint.learn_relative_latency(&evidence);
-        if evidence.succeeded() {
-            let work = evidence.timing.usual_latency_ms / self.mean_latency_ms.max(1.0);
+        endpoint.learn_errors(&observation, self.now_ms);
+        endpoint.learn_relative_latency(&observation);
+        if observation.succeeded() {
+            let work = observation.timing.class_latency_ms / self.mean_latency_ms.max(1.0);
             endpoint.learn_throughput(work, self.now_ms);
         }
-        endpoint.adjust_limit(&evidence, self.now_ms);
+        endpoint.adjust_limit(&observation, self.now_ms);
         if self.settings.load_by_probes {
-            // A quiet proxy hears of each endpoint once in seconds, so any answer counts for all.
-            let (limit, cut_at_ms) = (endpoint.statistics.concurrency_limit, endpoint.limit_cut_at_ms);
+            // With few results per endpoint, one limit is learned for all endpoints.
+            let (limit, at_ms) = (endpoint.statistics.concurrency_limit, endpoint.limit_decreased_at_ms);
             for endpoint in self.endpoints.values_mut() {
                 endpoint.statistics.concurrency_limit = limit;
-                endpoint.limit_cut_at_ms = cut_at_ms;
+                endpoint.limit_decreased_at_ms = at_ms;
             }
         }
     }
 
-    /// What a result says of its endpoint; nothing where the proxy itself ended the attempt.
-    fn evidence(&self, attempt: &PendingAttempt, result: &AttemptResult) -> Option<Evidence> {
+    /// Derives an observation from a result; `None` if the result is due to the proxy, not to the endpoint.
+    fn observe(&self, attempt: &PendingAttempt, result: &AttemptResult) -> Option<Observation> {
         let (settings, timing) = (&self.settings, attempt.timing);
         let endpoint = self.endpoints.get(&attempt.endpoint)?;
-        let overdue = result.duration_ms > timing.overdue_after_ms;
-        let silent = endpoint.last_answer_at_ms <= timing.sent_at_ms;
+        let overdue = result.duration_ms > timing.tail_latency_ms;
+        let unresponsive = endpoint.last_response_at_ms <= timing.sent_at_ms;
         let mut outcome = result.outcome;
-        if outcome == AttemptOutcome::Cancelled && overdue && silent {
-            // All attempts of an endpoint that fell silent are cancelled once their hedged requests are back.
+        if outcome == AttemptOutcome::Cancelled && overdue && unresponsive {
+            // Hedging cancels the attempts at an unresponsive endpoint before they time out.
             outcome = AttemptOutcome::TimedOut;
         }
-        // Were requests ended at their latency objective to tell nothing, limits would only ever grow.
+        // Requests abandoned at their latency objective count, or limits would only grow.
         let is_late = result.duration_ms >= timing.latency_objective_ms;
         let abandoned = settings.few_buffered_responses && outcome == AttemptOutcome::Cancelled && is_late;
         if matches!(outcome, AttemptOutcome::Cancelled | AttemptOutcome::NotSent) && !abandoned {
@@ -80,130 +80,130 @@
         }
         let report = &endpoint.report;
         let report_age_ms = self.now_ms - endpoint.reported_at_ms;
-        let idle = report.queued.is_some_and(|queued| queued <= 0.0);
-        let reported_idle = idle && !settings.load_by_probes && report_age_ms < IDLE_REPORT_AGE_MS;
-        let free_cores = report.cpu_utilization.is_some_and(|used| used < FREE_CORES_UTILIZATION);
-        let excused = report.queued.is_none() && free_cores && report_age_ms < FREE_CORES_REPORT_AGE_MS;
-        let can_be_excused = !settings.load_by_probes || settings.few_buffered_responses;
+        let queue_empty = report.queued.is_some_and(|queued| queued <= 0.0);
+        let idle = queue_empty && !settings.load_by_probes && report_age_ms < MAX_QUEUE_REPORT_AGE_MS;
+        let cpu_free = report.cpu_utilization.is_some_and(|used| used < FREE_CPU_UTILIZATION);
+        let not_busy = report.queued.is_none() && cpu_free && report_age_ms < MAX_CPU_REPORT_AGE_MS;
+        let trusts_cpu = !settings.load_by_probes || settings.few_buffered_responses;
         let share = endpoint.statistics.concurrency_limit / self.proxies_per_endpoint;
-        let share_in_use = settings.load_by_probes || endpoint.own_in_flight() >= SHARE_IN_USE * share;
-        let silence_ms = self.now_ms - endpoint.last_answer_at_ms;
-        Some(Evidence {
+        let share_in_use = settings.load_by_probes || endpoint.own_in_flight() >= LIMIT_GROWTH_SHARE * share;
+        let idle_ms = self.now_ms - endpoint.last_response_at_ms;
+        Some(Observation {
             timing,
             outcome,
             duration_ms: result.duration_ms,
             abandoned,
-            lost: outcome == AttemptOutcome::TimedOut && (!silent || reported_idle),
-            delayed_elsewhere: excused && can_be_excused && overdue,
-            idle,
-            weight: (silence_ms / SILENCE_MS).clamp(MIN_WEIGHT, MAX_WEIGHT),
-            relative_latency_before: endpoint.statistics.relative_latency.unwrap_or(1.0),
-            limit_in_use: share_in_use && self.utilization() > LIMITS_IN_USE,
+            lost: outcome == AttemptOutcome::TimedOut && (!unresponsive || idle),
+            external_delay: not_busy && trusts_cpu && overdue,
+            queue_empty,
+            weight: (idle_ms / FULL_WEIGHT_IDLE_MS).clamp(MIN_WEIGHT, MAX_WEIGHT),
+            previous_relative_latency: endpoint.statistics.relative_latency.unwrap_or(1.0),
+            limit_in_use: share_in_use && self.utilization() > LIMIT_GROWTH_UTILIZATION,
             load_by_probes: settings.load_by_probes,
         })
     }
 
-    /// Learns the tail multiple, and the mean latencies of the class and of all requests.
-    fn learn_latency(&mut self, class: ClassId, evidence: &Evidence) {
-        let before = evidence.relative_latency_before;
-        let above = evidence.relative_latency() > before * self.tail_multiple;
-        let step = TAIL_STEP * self.tail_multiple;
-        follow_95th_percentile(&mut self.tail_multiple, above, step, TAIL_MULTIPLES);
-        // Were the mean to follow a crowd, a crowded fleet would look ordinary: it stiffens with successes.
+    /// Updates the tail multiple and the mean latencies of the class and of all requests.
+    fn learn_latency(&mut self, class: ClassId, observation: &Observation) {
+        let before = observation.previous_relative_latency;
+        let above = observation.relative_latency() > before * self.tail_multiple;
+        let step = TAIL_MULTIPLE_STEP * self.tail_multiple;
+        update_p95(&mut self.tail_multiple, above, step, TAIL_MULTIPLE_BOUNDS);
+        // The weight falls with the number of successes, so that the mean doesn't adapt to a long overload.
         let class = &mut self.classes[class.index()];
         class.successes += 1.0;
         let weight = (1.0 / (class.successes + 10.0)).max(MIN_CLASS_WEIGHT);
-        let latency_ms = evidence.duration_ms / before.max(0.2);
+        let latency_ms = observation.duration_ms / before.max(0.2);
         smooth(&mut class.mean_latency_ms, latency_ms, weight);
         smooth(&mut self.mean_latency_ms, latency_ms, weight);
     }
 
-    /// The best mean of what warm endpoints bore. It fades slowly, as it shall not fall with the demand.
+    /// Tracks the peak of the mean throughput of warm endpoints. It decays slowly, to outlast low demand.
     pub(super) fn update_warm_throughput(&mut self, elapsed_ms: f64) {
         let subset = self.subset.iter().map(|id| &self.endpoints[id]);
         let warm = subset.filter(|endpoint| self.now_ms >= endpoint.warm_at_ms);
         let throughput = mean(warm.map(|endpoint| endpoint.throughput(self.now_ms)));
-        self.warm_throughput = (self.warm_throughput * decay(elapsed_ms, WARM_FADES_OVER_MS)).max(throughput);
+        let decayed = self.warm_throughput * decay_factor(elapsed_ms, WARM_THROUGHPUT_TIME_CONSTANT_MS);
+        self.warm_throughput = decayed.max(throughput);
     }
 
-    /// An endpoint that fell silent is hardly tried again, and would be left long after it is back. So what
-    /// speaks against it fades to what a new one starts with, but where probes tell that it is back.
-    pub(super) fn fade_old_evidence(&mut self, elapsed_ms: f64) {
+    /// Moves unfavorable statistics without recent samples towards their initial values. Otherwise, an endpoint
+    /// that gets hardly any requests would not be seen to recover. Load probes make this unnecessary.
+    pub(super) fn decay_stale_statistics(&mut self, elapsed_ms: f64) {
         let (now_ms, by_probes) = (self.now_ms, self.settings.load_by_probes);
-        let remains = decay(elapsed_ms, THROUGHPUT_OVER_MS);
-        let last_evidence_ms = |endpoint: &Endpoint| endpoint.last_answer_at_ms.max(endpoint.limit_cut_at_ms);
-        let is_old =
-            |endpoint: &&mut Endpoint| !by_probes && now_ms - last_evidence_ms(endpoint) > FADES_AFTER_MS;
-        for statistics in self.endpoints.values_mut().filter(is_old).map(|endpoint| &mut endpoint.statistics)
-        {
-            statistics.error_rate *= remains;
+        let factor = decay_factor(elapsed_ms, THROUGHPUT_TIME_CONSTANT_MS);
+        let updated_at_ms = |one: &Endpoint| one.last_response_at_ms.max(one.limit_decreased_at_ms);
+        let is_stale = |one: &&mut Endpoint| !by_probes && now_ms - updated_at_ms(one) > STALE_AFTER_MS;
+        for statistics in self.endpoints.values_mut().filter(is_stale).map(|one| &mut one.statistics) {
+            statistics.error_rate *= factor;
             let limit = &mut statistics.concurrency_limit;
-            *limit = limit.max(fade(*limit, INITIAL_LIMIT, remains));
-            let faded = |latency: f64| latency.min(fade(latency, 1.0, remains));
-            statistics.relative_latency = statistics.relative_latency.map(faded);
+            *limit = limit.max(decay_towards(*limit, INITIAL_CONCURRENCY_LIMIT, factor));
+            let decayed = |latency: f64| latency.min(decay_towards(latency, 1.0, factor));
+            statistics.relative_latency = statistics.relative_latency.map(decayed);
         }
     }
 }
 
 impl Endpoint {
-    fn learn_errors(&mut self, evidence: &Evidence, now_ms: f64) {
-        // A failure of an endpoint seldom heard is no proof: only good news counts for more.
-        let weight = if evidence.succeeded() { evidence.weight } else { MIN_WEIGHT };
-        let rejected = evidence.outcome == AttemptOutcome::Rejected;
-        let failed = !evidence.succeeded() && !evidence.abandoned && !rejected;
+    fn learn_errors(&mut self, observation: &Observation, now_ms: f64) {
+        // Only a success gets a higher weight after a silence: one failure is weak evidence.
+        let weight = if observation.succeeded() { observation.weight } else { MIN_WEIGHT };
+        let rejected = observation.outcome == AttemptOutcome::Rejected;
+        let failed = !observation.succeeded() && !observation.abandoned && !rejected;
         smooth(&mut self.statistics.error_rate, f64::from(u8::from(failed)), weight);
-        if !evidence.timed_out() && evidence.outcome != AttemptOutcome::Unreachable {
-            self.last_answer_at_ms = now_ms;
+        if !observation.timed_out() && observation.outcome != AttemptOutcome::Unreachable {
+            self.last_response_at_ms = now_ms;
         }
     }
 
-    fn learn_relative_latency(&mut self, evidence: &Evidence) {
-        let mut latency = evidence.relative_latency_before;
-        let timed_out_there = evidence.timed_out() && !evidence.lost;
-        let tells = evidence.succeeded() || evidence.abandoned || timed_out_there;
-        if tells && !evidence.delayed_elsewhere {
-            let mut sample = evidence.relative_latency();
-            if !evidence.succeeded() {
-                sample = sample.max(latency); // a short time-out says "at least so long"
+    fn learn_relative_latency(&mut self, observation: &Observation) {
+        let mut latency = observation.previous_relative_latency;
+        let endpoint_timed_out = observation.timed_out() && !observation.lost;
+        let is_informative = observation.succeeded() || observation.abandoned || endpoint_timed_out;
+        if is_informative && !observation.external_delay {
+            let mut sample = observation.relative_latency();
+            if !observation.succeeded() {
+                sample = sample.max(latency); // an unfinished attempt gives only a lower bound
             }
-            let most = latency * MAX_SAMPLE;
-            smooth(&mut latency, sample.min(most), evidence.weight);
+            let max_sample = latency * MAX_SAMPLE_RATIO;
+            smooth(&mut latency, sample.min(max_sample), observation.weight);
             self.statistics.relative_latency = Some(latency);
         }
         let best = &mut self.statistics.best_relative_latency;
         let latency = self.statistics.relative_latency.unwrap_or(1.0);
-        follow_minimum(best, latency, BEST_LATENCY_WEIGHT);
+        update_minimum(best, latency, BEST_LATENCY_WEIGHT);
     }
 
     fn learn_throughput(&mut self, work: f64, now_ms: f64) {
-        let throughput = self.throughput(now_ms) + work / THROUGHPUT_OVER_MS;
-        // Peaks of few requests are chance, and add up over proxies: they count less two standard errors.
-        let sure = throughput - (2.0 * throughput / THROUGHPUT_OVER_MS).sqrt();
+        let throughput = self.throughput(now_ms) + work / THROUGHPUT_TIME_CONSTANT_MS;
+        // Peaks over few requests are noisy, so the peak is a lower confidence bound of two standard errors.
+        let lower_bound = throughput - (2.0 * throughput / THROUGHPUT_TIME_CONSTANT_MS).sqrt();
         self.statistics.throughput = throughput;
-        self.throughput_at_ms = now_ms;
-        self.statistics.peak_throughput = self.statistics.peak_throughput.max(sure);
+        self.throughput_updated_at_ms = now_ms;
+        self.statistics.peak_throughput = self.statistics.peak_throughput.max(lower_bound);
     }
 
-    /// A crowded endpoint turns slower, and smoothed figures show it too late. So single answers move the
-    /// limit: a quick one, at the endpoint's best, lets it grow; a slow or late one cuts it.
-    fn adjust_limit(&mut self, evidence: &Evidence, now_ms: f64) {
-        let (timing, limit) = (&evidence.timing, self.statistics.concurrency_limit);
-        let best_latency_ms = timing.usual_latency_ms * self.statistics.best_relative_latency;
-        let stretch = evidence.duration_ms / best_latency_ms.max(1.0);
-        let is_there = !evidence.lost && !evidence.delayed_elsewhere;
-        // Idle endpoints may reject all of a class: where nothing waits, a rejection is no sign of crowding.
-        let full = evidence.outcome == AttemptOutcome::Rejected && !evidence.idle;
-        let refused = full || evidence.timed_out() || evidence.outcome == AttemptOutcome::Unreachable;
-        let late = refused || evidence.abandoned || evidence.duration_ms > timing.latency_objective_ms;
-        let slow = stretch > CROWDED_STRETCH && !evidence.load_by_probes && !evidence.delayed_elsewhere;
-        // Failures and late answers come in heaps; those to attempts of one time are one event and cut once.
-        if late && is_there && now_ms - self.limit_cut_at_ms > timing.usual_latency_ms {
-            self.cut_limit(if evidence.load_by_probes || full { GENTLE_CUT } else { HARD_CUT }, now_ms);
-        } else if evidence.succeeded() && slow {
-            self.cut_limit(GENTLE_CUT, now_ms);
-        } else if evidence.succeeded() && stretch < 1.0 && evidence.limit_in_use {
-            // One for a round of own answers: scaled up to all proxies it would outrun the cuts.
-            self.statistics.concurrency_limit = (limit + 1.0 / limit).min(MAX_LIMIT);
+    /// Adjusts the concurrency limit by additive increase and multiplicative decrease. Single results decide,
+    /// as moving averages show congestion too late.
+    fn adjust_limit(&mut self, observation: &Observation, now_ms: f64) {
+        let (timing, limit) = (&observation.timing, self.statistics.concurrency_limit);
+        let best_latency_ms = timing.class_latency_ms * self.statistics.best_relative_latency;
+        let slowdown = observation.duration_ms / best_latency_ms.max(1.0);
+        let endpoint_caused = !observation.lost && !observation.external_delay;
+        // A rejection with an empty queue is no sign of congestion: the endpoint may refuse the whole class.
+        let full = observation.outcome == AttemptOutcome::Rejected && !observation.queue_empty;
+        let failed = full || observation.timed_out() || observation.outcome == AttemptOutcome::Unreachable;
+        let late = failed || observation.abandoned || observation.duration_ms > timing.latency_objective_ms;
+        let slow = slowdown > MAX_SLOWDOWN && !observation.load_by_probes && !observation.external_delay;
+        // Late results come in bursts. Those within one mean latency decrease the limit once.
+        if late && endpoint_caused && now_ms - self.limit_decreased_at_ms > timing.class_latency_ms {
+            let mild = observation.load_by_probes || full;
+            self.decrease_limit(if mild { SMALL_DECREASE } else { LARGE_DECREASE }, now_ms);
+        } else if observation.succeeded() && slow {
+            self.decrease_limit(SMALL_DECREASE, now_ms);
+        } else if observation.succeeded() && slowdown < 1.0 && observation.limit_in_use {
+            // Grows by one per `limit` responses to this proxy. Scaling by all proxies would be too fast.
+            self.statistics.concurrency_limit = (limit + 1.0 / limit).min(MAX_CONCURRENCY_LIMIT);
         }
     }
 }
--- a/src/balancer/load.rs
+++ b/src/balancer/load.rs
@@ -1,18 +1,18 @@
-//! What endpoints hold: the queues of the paper, from reports and from own attempts.
+//! Estimates the load of endpoints from their reports and from this proxy's attempts in flight.
 
 use super::Balancer;
 use crate::state::Endpoint;
 
-const MAX_REPORT_AGE_MS: f64 = 5000.0; // much older than any usual refresh
-const SATURATED_UTILIZATION: f64 = 1.15; // of cores, with an endless queue; above 1, as readings are noisy
+const MAX_REPORT_AGE_MS: f64 = 5000.0; // much longer than the usual refresh interval
+const SATURATED_UTILIZATION: f64 = 1.15; // CPU use at an infinite queue; above 1 to allow for noise
 
 impl Endpoint {
-    /// What it holds for all proxies together, by its own report and what this proxy has sent since.
+    /// Requests at the endpoint from all proxies: the last report and what this proxy has sent since.
     pub(super) fn reported_load(&self, now_ms: f64) -> Option<f64> {
         if now_ms - self.reported_at_ms >= MAX_REPORT_AGE_MS {
             return None;
         }
-        // An empty queue does not tell how much is executing: as much as a queue of that use of cores would.
+        // The queue length excludes executing requests; their number is estimated from the CPU utilization.
         let used = self.report.cpu_utilization.map(|used| used.min(1.0));
         let executing = used.map_or(0.0, |used| used / (SATURATED_UTILIZATION - used));
         let queued = self.report.queued.or(used.map(|_| 0.0)).map(|queued| queued + executing);
@@ -22,31 +22,31 @@
 }
 
 impl Balancer {
-    /// As reported, else by own attempts as if all proxies acted alike: too few to tell where load is probed.
-    pub(super) fn known_load(&self, endpoint: &Endpoint) -> Option<f64> {
+    /// The reported load, or an extrapolation from this proxy's attempts, which are too few with load probes.
+    pub(super) fn estimated_load(&self, endpoint: &Endpoint) -> Option<f64> {
         let extrapolated = endpoint.own_in_flight() * self.proxies_per_endpoint;
         endpoint.reported_load(self.now_ms).or((!self.settings.load_by_probes).then_some(extrapolated))
     }
 
-    /// Whether an endpoint's limit leaves room for an attempt, or none is in flight there.
+    /// Whether an endpoint is below its limit or has no attempt of this proxy in flight.
     pub(super) fn has_capacity(&self, endpoint: &Endpoint) -> bool {
         let extrapolated = endpoint.own_in_flight() * self.proxies_per_endpoint;
         let reported = endpoint.reported_load(self.now_ms).unwrap_or(extrapolated);
-        let load = self.bounded_by_sample(endpoint.in_flight.len(), extrapolated, reported);
+        let load = self.clamp_to_local_estimate(endpoint.in_flight.len(), extrapolated, reported);
         endpoint.in_flight.is_empty() || load < endpoint.statistics.concurrency_limit
     }
 
-    /// Own attempts are a sample of those of all proxies that share an endpoint, and a few look like a crowd
-    /// by chance. Within one standard error of that sample the reports decide.
-    fn bounded_by_sample(&self, own: usize, extrapolated: f64, reported: f64) -> f64 {
-        // Where responses are buffered for slow readers, own attempts in flight have left their endpoints.
-        let exact = self.settings.load_by_probes && !self.settings.few_buffered_responses;
+    /// Clamps the reported load to between the extrapolated load less one standard error and the extrapolated
+    /// load, as an extrapolation from few attempts is noisy.
+    fn clamp_to_local_estimate(&self, own: usize, extrapolated: f64, reported: f64) -> f64 {
+        // While responses are buffered for slow readers, attempts in flight may have left their endpoints.
+        let is_exact = self.settings.load_by_probes && !self.settings.few_buffered_responses;
         let sampled = ((1.0 - 1.0 / self.proxies_per_endpoint) / own.max(1) as f64).sqrt();
-        let error = if exact { 0.0 } else { sampled };
+        let error = if is_exact { 0.0 } else { sampled };
         reported.clamp(extrapolated * (1.0 - error), extrapolated)
     }
 
-    /// How full the subset is, by reports where load is probed, else by own attempts.
+    /// Utilization of the subset's limits: by reports with load probes, else by this proxy's attempts.
     pub(super) fn utilization(&self) -> f64 {
         if self.settings.load_by_probes {
             return self.subset_utilization(|endpoint| endpoint.reported_load(self.now_ms));
@@ -54,14 +54,14 @@
         self.subset_utilization(|endpoint| Some(endpoint.own_in_flight() * self.proxies_per_endpoint))
     }
 
-    /// How full the subset is, as admission counts it.
-    pub(super) fn utilization_against_limits(&self) -> f64 {
+    /// Utilization of the subset's limits as used for admission, within the error of the local estimate.
+    pub(super) fn admission_utilization(&self) -> f64 {
         let own = self.subset.iter().map(|id| self.endpoints[id].in_flight.len()).sum();
-        let reported = self.subset_utilization(|endpoint| self.known_load(endpoint));
-        self.bounded_by_sample(own, self.utilization(), reported)
+        let reported = self.subset_utilization(|endpoint| self.estimated_load(endpoint));
+        self.clamp_to_local_estimate(own, self.utilization(), reported)
     }
 
-    /// What the subset holds, by this figure of each endpoint, over all limits.
+    /// The sum of the known loads in the subset over the sum of their limits.
     fn subset_utilization(&self, load: impl Fn(&Endpoint) -> Option<f64>) -> f64 {
         let subset = self.subset.iter().map(|id| &self.endpoints[id]);
         let known = subset.filter_map(|one| Some((load(one)?, one.statistics.concurrency_limit)));
--- a/src/balancer/mod.rs
+++ b/src/balancer/mod.rs
@@ -48,7 +48,7 @@
     /// Hedge an attempt that is overdue.
     Hedge { key: AttemptKey, sent_at_ms: f64 },
     /// Give a request up whose answer would be worth nothing any more.
-    Worthless { request: RequestId, at_ms: f64 },
+    Abandon { request: RequestId, at_ms: f64 },
 }
 
 /// The decisions of one proxy.
@@ -112,7 +112,7 @@
         let mut new = Balancer::new(settings, 0);
         new.restore_learned_state(&self.learned_state());
         for (new, old) in new.tenants.iter_mut().zip(&self.tenants) {
-            new.budget = old.budget;
+            new.bucket = old.bucket;
         }
         self.classes = new.classes;
         self.tenants = new.tenants;
@@ -192,7 +192,7 @@
             Some(Timer::EndpointList) => self.ask_for_endpoints(out),
             Some(Timer::ProbeWait { request }) => self.end_probe_wait(out, request),
             Some(Timer::Hedge { key, sent_at_ms }) => self.hedge(out, key, sent_at_ms),
-            Some(Timer::Worthless { request, at_ms }) => self.end_worthless(out, request, at_ms),
+            Some(Timer::Abandon { request, at_ms }) => self.abandon_request(out, request, at_ms),
         }
     }
 
@@ -219,7 +219,7 @@
         self.endpoints.retain(|id, endpoint| {
             endpoint.state != EndpointState::Removed
                 || endpoint.disabled
-                || now_ms - endpoint.last_answer_at_ms <= FORGET_AFTER_MS
+                || now_ms - endpoint.last_response_at_ms <= FORGET_AFTER_MS
                 || !endpoint.in_flight.is_empty()
                 || requests.values().any(|request| request.has_tried(*id))
         });
@@ -236,7 +236,7 @@
 fn new_class(class: &ClassSettings) -> RequestClass {
     RequestClass {
         settings: Arc::new(class.clone()),
-        mean_latency_ms: class.latency_objective_ms * estimator::INITIAL_LATENCY,
+        mean_latency_ms: class.latency_objective_ms * estimator::INITIAL_LATENCY_FRACTION,
         successes: 0.0,
     }
 }
@@ -244,6 +244,6 @@
 fn new_tenant(tenant: &TenantSettings) -> Tenant {
     Tenant {
         quota_per_ms: tenant.quota_per_s / 1000.0,
-        budget: TokenBucket::new(admission::MIN_SAVED_REQUESTS, 0.0),
+        bucket: TokenBucket::new(admission::MIN_SAVED_REQUESTS, 0.0),
     }
 }
--- a/src/balancer/probing.rs
+++ b/src/balancer/probing.rs
@@ -3,7 +3,7 @@
 use super::{Balancer, Timer};
 use crate::state::{Endpoint, Request};
 use crate::types::{Actions, EndpointId, LoadReport, RequestId};
-use crate::weighted_choice::choose;
+use crate::weighted_choice::choose_weighted;
 
 const PROBES_PER_REQUEST: usize = 2; // more would crowd whichever endpoint looked empty last
 const LIGHT_LOAD: f64 = 0.3; // of its limit: a key's first endpoint is then asked alone, to save probes
@@ -31,7 +31,7 @@
         if !request.awaits_probes {
             return false;
         }
-        let at_ms = request.deadline_ms.min(self.now_ms + WAIT_PART * request.terms.latency_objective_ms);
+        let at_ms = request.deadline_ms.min(self.now_ms + WAIT_PART * request.settings.latency_objective_ms);
         self.set_timer(out, at_ms, Timer::ProbeWait { request: id });
         true
     }
@@ -40,13 +40,13 @@
     fn choose_probed(&mut self, id: RequestId) -> Vec<EndpointId> {
         let mut candidates = self.candidates(id);
         let offered = candidates.iter().map(|candidate| candidate.endpoint);
-        let mut probed = self.rendezvous_candidates(self.requests[&id].key, offered);
+        let mut probed = self.rendezvous_candidates(self.requests[&id].affinity_key, offered);
         let is_light = probed.first().is_some_and(|first| self.is_light(&self.endpoints[first]));
         let count = if is_light { 1 } else { PROBES_PER_REQUEST };
         probed.truncate(count);
         candidates.retain(|candidate| !probed.contains(&candidate.endpoint));
         while probed.len() < count && !candidates.is_empty() {
-            let drawn = choose(&mut self.rng, &candidates);
+            let drawn = choose_weighted(&mut self.rng, &candidates);
             candidates.retain(|candidate| candidate.endpoint != drawn);
             probed.push(drawn);
         }
@@ -78,7 +78,7 @@
         // The answer to a probe that was given up, or never sent, tells nothing.
         let awaited = self.probes.remove(&endpoint);
         if let Some((report, endpoint)) = answer.filter(|_| awaited).zip(self.endpoints.get_mut(&endpoint)) {
-            endpoint.take_report(report, now_ms, endpoint.own_in_flight());
+            endpoint.update_report(report, now_ms, endpoint.own_in_flight());
         }
         let awaits = |request: &Request| request.probed.iter().any(|probed| self.probes.contains(probed));
         let ready = self.requests.iter().filter(|(_, request)| request.awaits_probes && !awaits(request));
--- a/src/balancer/retries.rs
+++ b/src/balancer/retries.rs
@@ -42,15 +42,15 @@
         self.attempt_rate.record(self.now_ms, rate_over_ms);
         let request = self.requests.get_mut(&id).expect("the caller holds it");
         let endpoint = self.endpoints.get_mut(&endpoint_id).expect("it was drawn from those known");
-        let usual_latency_ms = self.classes[request.class.index()].mean_latency_ms;
+        let class_latency_ms = self.classes[request.class.index()].mean_latency_ms;
         // A heavy request costs what it is of an ordinary one; a light one still is a call.
-        endpoint.slow_start_budget.take((usual_latency_ms / self.mean_latency_ms).max(1.0));
-        let queued_ms = endpoint.expected_time_ms * usual_latency_ms / self.mean_latency_ms;
-        let alone_ms = usual_latency_ms * endpoint.statistics.relative_latency.unwrap_or(1.0);
-        let overdue_after_ms = queued_ms.max(alone_ms) * self.tail_multiple;
-        let latency_objective_ms = request.terms.latency_objective_ms;
+        endpoint.slow_start_budget.take((class_latency_ms / self.mean_latency_ms).max(1.0));
+        let queued_ms = endpoint.expected_latency_ms * class_latency_ms / self.mean_latency_ms;
+        let alone_ms = class_latency_ms * endpoint.statistics.relative_latency.unwrap_or(1.0);
+        let tail_latency_ms = queued_ms.max(alone_ms) * self.tail_multiple;
+        let latency_objective_ms = request.settings.latency_objective_ms;
         let sent_at_ms = self.now_ms;
-        let timing = AttemptTiming { sent_at_ms, usual_latency_ms, latency_objective_ms, overdue_after_ms };
+        let timing = AttemptTiming { sent_at_ms, class_latency_ms, latency_objective_ms, tail_latency_ms };
         let key = request.add_attempt(id, endpoint_id, timing);
         endpoint.add_attempt(key, timing);
         self.pending_attempts
@@ -58,10 +58,10 @@
         let timeout_ms = request.deadline_ms - self.now_ms;
         out.start_attempt(id, endpoint_id, timeout_ms);
         // A silent endpoint would hold a request for good: a hedged one follows, later the fuller all are.
-        let repeatable = request.terms.idempotency != Idempotency::NotIdempotent;
+        let repeatable = request.settings.idempotency != Idempotency::NotIdempotent;
         let few_proxies = self.proxies_per_endpoint * self.process_share < MAX_HEDGING_PROXIES;
-        if self.settings.hedging && repeatable && few_proxies && overdue_after_ms < timeout_ms {
-            let at_ms = self.now_ms + overdue_after_ms * (1.0 + self.utilization());
+        if self.settings.hedging && repeatable && few_proxies && tail_latency_ms < timeout_ms {
+            let at_ms = self.now_ms + tail_latency_ms * (1.0 + self.utilization());
             self.set_timer(out, at_ms, Timer::Hedge { key, sent_at_ms });
         }
     }
@@ -88,7 +88,7 @@
                 endpoint.sent_since_report = endpoint.own_in_flight();
             }
         }
-        self.take_report(pending.endpoint, result.load);
+        self.update_report(pending.endpoint, result.load);
         let Some(request) = self.requests.get_mut(&result.request) else { return };
         request.end_attempt(result.attempt, result.outcome);
         if result.request_closed || result.outcome == AttemptOutcome::Succeeded {
@@ -101,9 +101,9 @@
     /// The one final answer where no success will come: a rejection where the client may safely try again.
     pub(super) fn give_up(&mut self, out: &mut dyn Actions, id: RequestId) {
         let Some(request) = self.requests.get(&id) else { return };
-        let (idempotency, scope) = (request.terms.idempotency, request.terms.deduplication_scope);
+        let (idempotency, scope) = (request.settings.idempotency, request.settings.deduplication_scope);
         let global_key = idempotency == Idempotency::IdempotentWithKey && scope == DeduplicationScope::Global;
-        if idempotency == Idempotency::Idempotent || global_key || !request.may_have_run() {
+        if idempotency == Idempotency::Idempotent || global_key || !request.may_have_executed() {
             out.reject(id, (RETRY_AFTER_PART * self.mean_latency_ms).min(self.settings.max_retry_after_ms));
         } else {
             out.fail(id);
@@ -127,8 +127,8 @@
     }
 
     /// Ends a request whose answer is worth nothing any more, unless a body is on its way.
-    pub(super) fn end_worthless(&mut self, out: &mut dyn Actions, id: RequestId, at_ms: f64) {
-        let is_due = |request: &Request| request.worthless_at_ms == at_ms && !request.bound_to_attempt;
+    pub(super) fn abandon_request(&mut self, out: &mut dyn Actions, id: RequestId, at_ms: f64) {
+        let is_due = |request: &Request| request.abandon_at_ms == at_ms && !request.bound_to_attempt;
         if self.requests.get(&id).is_some_and(is_due) {
             self.give_up(out, id);
         }
--- a/src/balancer/solver.rs
+++ b/src/balancer/solver.rs
@@ -5,7 +5,7 @@
 use crate::moving_average::mean;
 use crate::state::{Endpoint, QueueModel};
 use crate::types::{EndpointId, LoadReport, RequestId};
-use crate::weighted_choice::{weigh, Candidate};
+use crate::weighted_choice::{weighted_candidates, Candidate};
 
 const SOLVE_EVERY_MS: f64 = 100.0;
 const MAX_ELAPSED_MS: f64 = 1000.0;
@@ -30,7 +30,7 @@
         self.refresh_subset();
         let elapsed_ms = (self.now_ms - self.solved_at_ms).clamp(0.0, MAX_ELAPSED_MS);
         self.update_warm_throughput(elapsed_ms);
-        self.fade_old_evidence(elapsed_ms);
+        self.decay_stale_statistics(elapsed_ms);
         self.solved_at_ms = self.now_ms;
         self.update_means();
         let subset = self.subset.clone();
@@ -42,7 +42,7 @@
         for ((id, share), model) in subset.iter().zip(&shares).zip(&models) {
             let endpoint = self.endpoints.get_mut(id).expect("the subset holds known endpoints");
             endpoint.share = *share;
-            endpoint.expected_time_ms = (1.0 + model.queue) / model.service_rate;
+            endpoint.expected_latency_ms = (1.0 + model.queue) / model.service_rate;
         }
     }
 
@@ -51,7 +51,7 @@
         let subset = self.subset.iter().map(|id| &self.endpoints[id]);
         let latencies = subset.clone().filter_map(|endpoint| endpoint.statistics.relative_latency);
         let speed = mean(latencies.map(|latency| 1.0 / latency));
-        self.mean_queue = mean(subset.filter_map(|endpoint| self.known_load(endpoint)));
+        self.mean_queue = mean(subset.filter_map(|endpoint| self.estimated_load(endpoint)));
         self.mean_relative_latency = if speed > 0.0 { 1.0 / speed } else { 1.0 };
     }
 
@@ -79,7 +79,7 @@
         let statistics = &endpoint.statistics;
         let relative_latency = statistics.relative_latency.unwrap_or(self.mean_relative_latency);
         let latency_ms = (relative_latency * self.mean_latency_ms).max(1.0);
-        let distance_cost_ms = if endpoint.zone == self.settings.my_zone { 0.0 } else { crossing_cost_ms };
+        let locality_cost_ms = if endpoint.zone == self.settings.my_zone { 0.0 } else { crossing_cost_ms };
         // A failed request costs about one more request's time.
         let failure_cost_ms = latency_ms * statistics.error_rate / (1.0 - statistics.error_rate).max(0.1);
         let has_report = endpoint.report != LoadReport::default();
@@ -91,11 +91,11 @@
         let is_slow = statistics.relative_latency.is_some_and(|latency| latency > jammed_latency);
         let jammed = self.settings.load_by_probes && is_slow;
         QueueModel {
-            queue: self.known_load(endpoint).unwrap_or(self.mean_queue),
+            queue: self.estimated_load(endpoint).unwrap_or(self.mean_queue),
             service_rate: (1.0 + self.mean_queue) / latency_ms,
             horizon_ms: age_ms.clamp(MIN_HORIZON_MS, MAX_HORIZON_MS),
-            cost_ms: distance_cost_ms + failure_cost_ms,
-            distance_cost_ms,
+            cost_ms: locality_cost_ms + failure_cost_ms,
+            locality_cost_ms,
             max_share: max_share * healthy * if jammed { JAMMED_SHARE } else { 1.0 },
         }
     }
@@ -112,23 +112,25 @@
             };
             offered.filter(has_answered).collect()
         } else {
-            self.rendezvous_candidates(request.key, offered)
+            self.rendezvous_candidates(request.affinity_key, offered)
         };
         if narrowed.is_empty() {
             return candidates;
         }
         let mut models = self.queue_models(&narrowed, 1.0);
-        if let Some(home) = self.rendezvous_candidates(request.key, self.subset.iter().copied()).first() {
+        if let Some(home) =
+            self.rendezvous_candidates(request.affinity_key, self.subset.iter().copied()).first()
+        {
             let miss_cost_ms = KEY_MISS_COST * self.mean_latency_ms;
             for (model, _) in models.iter_mut().zip(&narrowed).filter(|(_, endpoint)| *endpoint != home) {
                 model.cost_ms += miss_cost_ms;
-                model.distance_cost_ms += miss_cost_ms;
+                model.locality_cost_ms += miss_cost_ms;
             }
         }
         // One key of many: the requests of others come to these endpoints whatever becomes of this one's.
-        let keys = if request.key.is_some() { self.subset.len() as f64 } else { 1.0 };
+        let keys = if request.affinity_key.is_some() { self.subset.len() as f64 } else { 1.0 };
         let service_rate: f64 = models.iter().map(|model| model.service_rate).sum();
         let shares = split(&models, self.arrival_rate * service_rate / keys);
-        weigh(narrowed, shares)
+        weighted_candidates(narrowed, shares)
     }
 }
--- a/src/balancer/split.rs
+++ b/src/balancer/split.rs
@@ -44,7 +44,7 @@
     let usable = models.iter().filter(|model| model.free_rate() > 0.0);
     let usable: f64 = usable.map(|model| model.max_share).sum();
     // Free capacity alone would send requests across zones past idle endpoints: there costs decide.
-    let equally_far = models.iter().all(|model| model.distance_cost_ms == models[0].distance_cost_ms);
+    let equally_far = models.iter().all(|model| model.locality_cost_ms == models[0].locality_cost_ms);
     if free > arrival_rate && usable > 1.0 && equally_far {
         let rates = models.iter().map(QueueModel::free_rate).filter(|rate| *rate > 0.0);
         let high = 1.0 / rates.fold(f64::MAX, f64::min);
--- a/src/balancer/subset.rs
+++ b/src/balancer/subset.rs
@@ -51,7 +51,7 @@
 /// fail do not count, which widens the run to twice its length at most.
 fn run(ready: &[(EndpointId, &Endpoint)], order: u64, place: f64, length: f64) -> Vec<EndpointId> {
     let mut ranked = ready.to_vec();
-    ranked.sort_by_key(|(_, endpoint)| ranking::fleet_rank(order, endpoint.stable_hash));
+    ranked.sort_by_key(|(_, endpoint)| ranking::permutation_rank(order, endpoint.stable_hash));
     let start = (place.fract() * ranked.len() as f64) as usize;
     let (mut run, mut healthy) = (Vec::new(), 0.0);
     for (id, endpoint) in ranked[start..].iter().chain(&ranked[..start]) {
--- a/src/moving_average.rs
+++ b/src/moving_average.rs
@@ -1,16 +1,16 @@
 //! Exponential moving averages.
 
-/// What is left of a value that decays with this time constant.
-pub(crate) fn decay(elapsed_ms: f64, time_constant_ms: f64) -> f64 {
+/// The factor by which a value decays exponentially over the elapsed time.
+pub(crate) fn decay_factor(elapsed_ms: f64, time_constant_ms: f64) -> f64 {
     (-elapsed_ms / time_constant_ms).exp()
 }
 
-/// Moves an average towards a sample that has this weight, from 0 to 1.
+/// Moves an average towards a sample of this weight, from 0 to 1.
 pub(crate) fn smooth(average: &mut f64, sample: f64, weight: f64) {
     *average += weight * (sample - *average);
 }
 
-/// The rate of events, smoothed over a time constant.
+/// An exponentially weighted rate of events.
 #[derive(Clone, Copy, Default)]
 pub(crate) struct EventRate {
     pub(crate) per_ms: f64,
@@ -18,27 +18,26 @@
 }
 
 impl EventRate {
-    /// Counts an event.
     pub(crate) fn record(&mut self, now_ms: f64, time_constant_ms: f64) {
-        let left = self.per_ms * decay(now_ms - self.updated_at_ms, time_constant_ms);
-        self.per_ms = left + 1.0 / time_constant_ms;
+        let decayed = self.per_ms * decay_factor(now_ms - self.updated_at_ms, time_constant_ms);
+        self.per_ms = decayed + 1.0 / time_constant_ms;
         self.updated_at_ms = now_ms;
     }
 }
 
-/// What is left of a value that fades to a baseline.
-pub(crate) fn fade(value: f64, baseline: f64, remains: f64) -> f64 {
-    baseline + (value - baseline) * remains
+/// Decays the difference of a value from a baseline by a factor.
+pub(crate) fn decay_towards(value: f64, baseline: f64, factor: f64) -> f64 {
+    baseline + (value - baseline) * factor
 }
 
-/// The mean of values; 0 where there are none.
+/// The mean of the values; 0 if there are none.
 pub(crate) fn mean(values: impl Iterator<Item = f64>) -> f64 {
     let (sum, count) = values.fold((0.0, 0.0), |(sum, count), value| (sum + value, count + 1.0));
     sum / f64::max(count, 1.0)
 }
 
-/// Moves a minimum: down to a lower sample at once, up towards a higher one that has this weight.
-pub(crate) fn follow_minimum(minimum: &mut f64, sample: f64, weight: f64) {
+/// Sets a minimum to a lower sample at once, and moves it towards a higher one by this weight.
+pub(crate) fn update_minimum(minimum: &mut f64, sample: f64, weight: f64) {
     if sample < *minimum {
         *minimum = sample;
     } else {
@@ -46,9 +45,9 @@
     }
 }
 
-/// Moves an estimate of the value that nineteen of twenty samples stay under, by the parts of a step that
-/// keep it there, within bounds.
-pub(crate) fn follow_95th_percentile(estimate: &mut f64, above: bool, step: f64, bounds: (f64, f64)) {
+/// Updates a streaming estimate of the 95th percentile, and clamps it to the bounds. The estimate is stable
+/// when 5 % of the samples lie above it, as a step up is 19 times a step down.
+pub(crate) fn update_p95(estimate: &mut f64, above: bool, step: f64, bounds: (f64, f64)) {
     *estimate += if above { step * 0.95 } else { -step * 0.05 };
     *estimate = estimate.clamp(bounds.0, bounds.1);
 }
--- a/src/ranking.rs
+++ b/src/ranking.rs
@@ -1,18 +1,18 @@
-//! Orders of endpoints that all proxies compute alike, from the endpoints' stable hashes.
+//! Endpoint orders that are the same on all proxies because they depend only on stable hashes.
 
 use crate::types::EndpointId;
 
-/// The rank of an endpoint for a key: rendezvous hashing, where the lowest ranks are the key's endpoints.
+/// The rank of an endpoint for a key by rendezvous hashing; the lowest ranks are preferred.
 pub(crate) fn rendezvous_rank(key: u64, stable_hash: u64) -> u64 {
     mix(key, stable_hash)
 }
 
-/// The rank of an endpoint in one of several orders of the whole fleet.
-pub(crate) fn fleet_rank(order: u64, stable_hash: u64) -> u64 {
-    mix(stable_hash, stable_hash ^ order)
+/// The rank of an endpoint in the permutation of all endpoints that this seed selects.
+pub(crate) fn permutation_rank(permutation_seed: u64, stable_hash: u64) -> u64 {
+    mix(stable_hash, stable_hash ^ permutation_seed)
 }
 
-/// The first endpoints by rendezvous rank, of those given with their stable hashes.
+/// Returns the `count` endpoints of lowest rendezvous rank, given each with its stable hash.
 pub(crate) fn rendezvous_first(
     key: u64,
     count: usize,
--- a/src/state.rs
+++ b/src/state.rs
@@ -1,8 +1,8 @@
-//! The records that the decisions keep of request classes, tenants, requests, attempts and endpoints.
+//! The balancer's records of request classes, tenants, requests, attempts and endpoints.
 
-use crate::moving_average::decay;
+use crate::moving_average::decay_factor;
 use crate::settings::ClassSettings;
-use crate::token_bucket::{EvenTokenBucket, TokenBucket};
+use crate::token_bucket::{FractionalTokenBucket, TokenBucket};
 use crate::types::{
     AttemptOutcome, ClassId, EndpointId, EndpointState, EndpointStatistics, EndpointUpdate, LoadReport,
     RequestId,
@@ -10,141 +10,139 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// What an endpoint bears is smoothed over a few seconds, so that a lull does not empty it.
-pub(crate) const THROUGHPUT_OVER_MS: f64 = 4000.0;
+/// Time constant of the throughput average, long enough to bridge short gaps in traffic.
+pub(crate) const THROUGHPUT_TIME_CONSTANT_MS: f64 = 4000.0;
 
-/// An attempt by its request and its number.
+/// Identifies an attempt by its request and its index in that request.
 pub(crate) type AttemptKey = (RequestId, usize);
 
-/// A request class.
 pub(crate) struct RequestClass {
     pub(crate) settings: Arc<ClassSettings>,
-    /// Smoothed latency of a successful attempt on an endpoint of ordinary speed.
+    /// Moving average of the latency of successful attempts, normalized to an endpoint of average speed.
     pub(crate) mean_latency_ms: f64,
-    /// How many successes that rests on.
+    /// Number of successful attempts in the average.
     pub(crate) successes: f64,
 }
 
-/// A tenant.
 pub(crate) struct Tenant {
-    /// Requests a millisecond that all proxies take at full weight.
+    /// Requests per millisecond, over all proxies, that keep their full priority.
     pub(crate) quota_per_ms: f64,
-    /// What this proxy has left of its part.
-    pub(crate) budget: TokenBucket,
+    /// This proxy's share of the quota.
+    pub(crate) bucket: TokenBucket,
 }
 
-/// What an attempt is measured against.
+/// The start time of an attempt and the latencies that it is compared with.
 #[derive(Clone, Copy)]
 pub(crate) struct AttemptTiming {
     pub(crate) sent_at_ms: f64,
-    /// The mean latency of its request class when it was sent.
-    pub(crate) usual_latency_ms: f64,
+    /// Mean latency of the request class when the attempt was sent.
+    pub(crate) class_latency_ms: f64,
     pub(crate) latency_objective_ms: f64,
-    /// After this an answer is overdue: nineteen of twenty come sooner.
-    pub(crate) overdue_after_ms: f64,
+    /// Estimated 95th percentile of the latency; a response that takes longer is overdue.
+    pub(crate) tail_latency_ms: f64,
 }
 
-/// An attempt, as its request knows it.
+/// An attempt as recorded in its request.
 pub(crate) struct Attempt {
     pub(crate) endpoint: EndpointId,
     pub(crate) timing: AttemptTiming,
-    pub(crate) may_have_run: bool,
+    pub(crate) may_have_executed: bool,
     pub(crate) in_flight: bool,
 }
 
-/// An attempt whose result is still to come; its request may be closed before.
+/// An attempt without a result yet. It may outlive its request.
 pub(crate) struct PendingAttempt {
     pub(crate) endpoint: EndpointId,
     pub(crate) class: ClassId,
     pub(crate) timing: AttemptTiming,
 }
 
-/// A request that has no final answer yet.
+/// A request without a final response yet.
 #[derive(Default)]
 pub(crate) struct Request {
     pub(crate) class: ClassId,
     pub(crate) deadline_ms: f64,
-    /// After this an answer is worth nothing, and holds what others need; `f64::MAX` where it never is.
-    pub(crate) worthless_at_ms: f64,
-    /// Its priority weight over the highest of all classes.
+    /// When the request is abandoned because a later response has no value; `f64::MAX` if never.
+    pub(crate) abandon_at_ms: f64,
+    /// The priority weight relative to the highest of all classes, reduced for a tenant over its quota.
     pub(crate) priority: f64,
-    /// A long body is streamed to or from an attempt: no other can follow.
+    /// A body is being streamed to or from an attempt, so the request can't be retried.
     pub(crate) bound_to_attempt: bool,
-    pub(crate) key: Option<u64>,
-    /// The endpoints whose load it goes by, and whether it still waits for one of them.
+    pub(crate) affinity_key: Option<u64>,
+    /// The endpoints whose load this request is routed by, chosen for load probes.
     pub(crate) probed: Vec<EndpointId>,
+    /// The first attempt waits for a response to one of these probes.
     pub(crate) awaits_probes: bool,
-    /// The settings of its class as they stood when it came.
-    pub(crate) terms: Arc<ClassSettings>,
+    /// The settings of the request class when the request arrived.
+    pub(crate) settings: Arc<ClassSettings>,
     pub(crate) max_attempts: f64,
     pub(crate) attempts: Vec<Attempt>,
 }
 
 impl Request {
-    /// Adds an attempt, and gives its key.
+    /// Records a new attempt and returns its key.
     pub(crate) fn add_attempt(
         &mut self,
         id: RequestId,
         endpoint: EndpointId,
         timing: AttemptTiming,
     ) -> AttemptKey {
-        self.attempts.push(Attempt { endpoint, timing, may_have_run: true, in_flight: true });
+        self.attempts.push(Attempt { endpoint, timing, may_have_executed: true, in_flight: true });
         (id, self.attempts.len() - 1)
     }
 
     pub(crate) fn end_attempt(&mut self, number: usize, outcome: AttemptOutcome) {
         let attempt = &mut self.attempts[number];
         attempt.in_flight = false;
-        attempt.may_have_run = !outcome.never_executed();
+        attempt.may_have_executed = !outcome.never_executed();
     }
 
     pub(crate) fn has_attempt_in_flight(&self) -> bool {
         self.attempts.iter().any(|attempt| attempt.in_flight)
     }
 
-    /// Whether any attempt may have executed the request.
-    pub(crate) fn may_have_run(&self) -> bool {
-        self.executed().next().is_some()
+    pub(crate) fn may_have_executed(&self) -> bool {
+        self.possibly_executed().next().is_some()
     }
 
-    /// The attempts that may have executed the request.
-    pub(crate) fn executed(&self) -> impl Iterator<Item = &Attempt> {
-        self.attempts.iter().filter(|attempt| attempt.may_have_run)
+    /// Attempts whose endpoint may have executed the request.
+    pub(crate) fn possibly_executed(&self) -> impl Iterator<Item = &Attempt> {
+        self.attempts.iter().filter(|attempt| attempt.may_have_executed)
     }
 
-    /// Whether an attempt went to this endpoint.
     pub(crate) fn has_tried(&self, endpoint: EndpointId) -> bool {
         self.attempts.iter().any(|attempt| attempt.endpoint == endpoint)
     }
 }
 
-/// An endpoint.
 #[derive(Default)]
 pub(crate) struct Endpoint {
     pub(crate) state: EndpointState,
-    /// An operator took it out.
+    /// Disabled by an operator.
     pub(crate) disabled: bool,
     pub(crate) stable_hash: u64,
     pub(crate) zone: usize,
     pub(crate) machine_class: usize,
     pub(crate) pod: usize,
-    /// Its last start as listed, and the latest at which that may truly have been.
+    /// Last start time according to the endpoint list.
     pub(crate) started_at_ms: f64,
+    /// Upper bound of the true start time, given clock skew.
     pub(crate) latest_start_ms: f64,
-    /// When its slow start ends.
+    /// End of slow start.
     pub(crate) warm_at_ms: f64,
     pub(crate) report: LoadReport,
     pub(crate) reported_at_ms: f64,
     pub(crate) sent_since_report: f64,
-    pub(crate) last_answer_at_ms: f64,
+    pub(crate) last_response_at_ms: f64,
     pub(crate) in_flight: BTreeMap<AttemptKey, AttemptTiming>,
     pub(crate) statistics: EndpointStatistics,
-    pub(crate) throughput_at_ms: f64,
-    pub(crate) limit_cut_at_ms: f64,
-    pub(crate) slow_start_budget: EvenTokenBucket,
-    /// Its share of the split, and the time that a request is expected to take there.
+    pub(crate) throughput_updated_at_ms: f64,
+    pub(crate) limit_decreased_at_ms: f64,
+    pub(crate) slow_start_budget: FractionalTokenBucket,
+    /// Share of the requests in the last solution of the split.
     pub(crate) share: f64,
-    pub(crate) expected_time_ms: f64,
+    /// Expected latency of a request of mean cost, including time in the queue.
+    pub(crate) expected_latency_ms: f64,
 }
 
 impl Endpoint {
@@ -152,17 +150,18 @@
         self.state == EndpointState::Ready && !self.disabled
     }
 
-    /// What it bears of this proxy's requests, in usual requests a millisecond.
+    /// Throughput of this proxy's requests, in requests of mean cost per millisecond.
     pub(crate) fn throughput(&self, now_ms: f64) -> f64 {
-        self.statistics.throughput * decay((now_ms - self.throughput_at_ms).max(0.0), THROUGHPUT_OVER_MS)
+        self.statistics.throughput
+            * decay_factor((now_ms - self.throughput_updated_at_ms).max(0.0), THROUGHPUT_TIME_CONSTANT_MS)
     }
 
-    /// Own attempts in flight there.
+    /// The number of this proxy's attempts in flight.
     pub(crate) fn own_in_flight(&self) -> f64 {
         self.in_flight.len() as f64
     }
 
-    /// A record as of now, of which all else has still to be set.
+    /// Creates a record without state and placement, which [`Endpoint::apply_update`] sets.
     pub(crate) fn new(stable_hash: u64, concurrency_limit: f64, now_ms: f64) -> Self {
         let statistics = EndpointStatistics {
             best_relative_latency: 1.0,
@@ -174,16 +173,16 @@
             statistics,
             warm_at_ms: f64::NEG_INFINITY,
             reported_at_ms: now_ms,
-            last_answer_at_ms: now_ms,
-            throughput_at_ms: now_ms,
-            limit_cut_at_ms: now_ms,
-            slow_start_budget: EvenTokenBucket::new(now_ms),
+            last_response_at_ms: now_ms,
+            throughput_updated_at_ms: now_ms,
+            limit_decreased_at_ms: now_ms,
+            slow_start_budget: FractionalTokenBucket::new(now_ms),
             ..Endpoint::default()
         }
     }
 
-    /// Puts a fresh record in the place of this one, which stands for a new process under the old name: what
-    /// the list and operators say of it, what is in flight there and the most that it bore remain.
+    /// Resets the record after the endpoint's process was replaced. Keeps the listed state and placement, the
+    /// operator's setting, the attempts in flight and the peak throughput.
     pub(crate) fn replace_process(&mut self, fresh: Endpoint) {
         let old = std::mem::replace(self, fresh);
         self.stable_hash = old.stable_hash;
@@ -201,7 +200,6 @@
         self.sent_since_report += 1.0;
     }
 
-    /// Counts an attempt as in flight there, or no longer.
     pub(crate) fn set_in_flight(&mut self, key: AttemptKey, timing: AttemptTiming, in_flight: bool) {
         if in_flight {
             self.in_flight.insert(key, timing);
@@ -210,30 +208,29 @@
         }
     }
 
-    /// An attempt is in flight there no longer.
     pub(crate) fn remove_in_flight(&mut self, key: &AttemptKey) {
         self.in_flight.remove(key);
-        // An empty map keeps a node for eleven attempts, which is more than the rest of the record.
+        // An emptied map keeps its allocated node, which is larger than the rest of the record.
         if self.in_flight.is_empty() {
             self.in_flight = BTreeMap::new();
         }
     }
 
-    /// Cuts its limit by a factor, to one at least.
-    pub(crate) fn cut_limit(&mut self, factor: f64, now_ms: f64) {
+    /// Multiplies the concurrency limit by a factor below 1; the limit stays at least 1.
+    pub(crate) fn decrease_limit(&mut self, factor: f64, now_ms: f64) {
         self.statistics.concurrency_limit = (self.statistics.concurrency_limit * factor).max(1.0);
-        self.limit_cut_at_ms = now_ms;
+        self.limit_decreased_at_ms = now_ms;
     }
 
-    /// Takes over a load report, since which so many attempts were sent there.
-    pub(crate) fn take_report(&mut self, report: LoadReport, now_ms: f64, sent_since: f64) {
+    /// Stores a load report that doesn't include the last `sent_since` attempts.
+    pub(crate) fn update_report(&mut self, report: LoadReport, now_ms: f64, sent_since: f64) {
         self.report = report;
         self.reported_at_ms = now_ms;
         self.sent_since_report = sent_since;
     }
 
-    /// Takes over what the endpoint list says of it, but for its start.
-    pub(crate) fn apply(&mut self, update: &EndpointUpdate) {
+    /// Applies an entry of the endpoint list, except for its start time.
+    pub(crate) fn apply_update(&mut self, update: &EndpointUpdate) {
         self.stable_hash = update.stable_hash;
         self.state = update.state;
         self.zone = update.zone;
@@ -242,46 +239,46 @@
     }
 }
 
-/// What the split knows of one endpoint: the paper's queue, service rate, horizon and cost.
+/// The queueing model of one endpoint, an input of the split.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct QueueModel {
-    /// Requests that it holds for all proxies.
+    /// Requests at the endpoint from all proxies, waiting and executing.
     pub queue: f64,
-    /// Requests that it serves a millisecond.
+    /// Requests served per millisecond.
     pub service_rate: f64,
-    /// How long the queue has been filling since it was reported.
+    /// Time since the queue length was reported.
     pub horizon_ms: f64,
-    /// What a request costs there beside its time, in milliseconds.
+    /// Cost of a request in addition to its latency, as an equivalent in milliseconds.
     pub cost_ms: f64,
-    /// What of that cost is for the way to another place.
-    pub distance_cost_ms: f64,
-    /// The largest share that it may have.
+    /// The part of `cost_ms` for crossing zones or missing the endpoint preferred by an affinity key.
+    pub locality_cost_ms: f64,
+    /// Upper bound of the endpoint's share.
     pub max_share: f64,
 }
 
-/// What the result of an attempt says of its endpoint.
-pub(crate) struct Evidence {
+/// What the result of an attempt tells about its endpoint.
+pub(crate) struct Observation {
     pub(crate) timing: AttemptTiming,
     pub(crate) outcome: AttemptOutcome,
     pub(crate) duration_ms: f64,
-    /// It was ended at its latency objective, as a later answer is worth nothing.
+    /// Cancelled at its latency objective because a later response has no value.
     pub(crate) abandoned: bool,
-    /// It was lost on the way: the endpoint was heard meanwhile, or had nothing to do.
+    /// Timed out although the endpoint responded to other attempts meanwhile or reported an empty queue.
     pub(crate) lost: bool,
-    /// The endpoint's cores were free: what took long was a lock behind all endpoints, or a slow reader.
-    pub(crate) delayed_elsewhere: bool,
-    /// By its own report nothing waits at the endpoint.
-    pub(crate) idle: bool,
-    /// How much the new counts in averages.
+    /// Overdue while the endpoint's CPU was not busy, as behind a shared lock or a slow reader.
+    pub(crate) external_delay: bool,
+    /// The endpoint reports an empty queue.
+    pub(crate) queue_empty: bool,
+    /// Weight of the sample in moving averages.
     pub(crate) weight: f64,
-    pub(crate) relative_latency_before: f64,
-    /// The endpoint's limit is in use, and so are those of all endpoints together.
+    pub(crate) previous_relative_latency: f64,
+    /// The endpoint's limit and the limits of the whole subset are used enough for the limit to grow.
     pub(crate) limit_in_use: bool,
-    /// Load is reported to probes.
+    /// Endpoints report load only when probed.
     pub(crate) load_by_probes: bool,
 }
 
-impl Evidence {
+impl Observation {
     pub(crate) fn succeeded(&self) -> bool {
         self.outcome == AttemptOutcome::Succeeded
     }
@@ -290,8 +287,8 @@
         self.outcome == AttemptOutcome::TimedOut
     }
 
-    /// The latency over the usual one of its class.
+    /// The latency relative to the mean latency of the request class.
     pub(crate) fn relative_latency(&self) -> f64 {
-        self.duration_ms / self.timing.usual_latency_ms.max(1.0)
+        self.duration_ms / self.timing.class_latency_ms.max(1.0)
     }
 }
--- a/src/token_bucket.rs
+++ b/src/token_bucket.rs
@@ -1,8 +1,7 @@
-//! Token buckets.
+//! Token buckets whose rate and capacity are passed to each refill, as they may change.
 
 use crate::types::SeededRandom;
 
-/// A token bucket; its rate and capacity are told at each refill, as they may change.
 #[derive(Clone, Copy, Default)]
 pub(crate) struct TokenBucket {
     tokens: f64,
@@ -14,20 +13,20 @@
         TokenBucket { tokens, refilled_at_ms: now_ms }
     }
 
-    /// The tokens that came in since the last call, at so many a millisecond. They are not added.
-    fn income(&mut self, now_ms: f64, rate: f64) -> f64 {
-        let income = rate * (now_ms - self.refilled_at_ms);
+    /// Returns the tokens that accrued since the last call, at a rate per millisecond, without adding them.
+    fn accrue(&mut self, now_ms: f64, rate: f64) -> f64 {
+        let accrued = rate * (now_ms - self.refilled_at_ms);
         self.refilled_at_ms = now_ms;
-        income
+        accrued
     }
 
-    /// Adds the tokens that came in since the last call, at so many a millisecond, up to a capacity.
+    /// Adds the tokens that accrued since the last call, at a rate per millisecond, up to a capacity.
     pub(crate) fn refill(&mut self, now_ms: f64, rate: f64, capacity: f64) {
-        self.tokens = (self.tokens + self.income(now_ms, rate)).min(capacity);
+        self.tokens = (self.tokens + self.accrue(now_ms, rate)).min(capacity);
     }
 
-    /// Takes tokens if there are so many.
-    pub(crate) fn take(&mut self, tokens: f64) -> bool {
+    /// Takes tokens if enough are available, and returns whether it did.
+    pub(crate) fn try_take(&mut self, tokens: f64) -> bool {
         if self.tokens < tokens {
             return false;
         }
@@ -36,20 +35,19 @@
     }
 }
 
-/// A token bucket whose capacity may be under one token. A token then falls due each time that the income of
-/// all time reaches a whole number, and lapses once the income has passed it by more than the capacity. The
-/// first falls due by chance, so that many buckets that are filled alike give their tokens one after the
-/// other.
+/// A token bucket whose capacity may be below one token. It then issues a token each time that the total
+/// accrued reaches a whole number, and withdraws it once a further `capacity` has accrued. The total starts
+/// at a random fraction, so that the buckets of many proxies don't issue their tokens at the same time.
 #[derive(Clone, Copy, Default)]
-pub(crate) struct EvenTokenBucket {
+pub(crate) struct FractionalTokenBucket {
     bucket: TokenBucket,
-    /// The fraction of the next token that has come in.
+    /// The accrued fraction of the next token; none before the first refill.
     fraction: Option<f64>,
 }
 
-impl EvenTokenBucket {
+impl FractionalTokenBucket {
     pub(crate) fn new(now_ms: f64) -> Self {
-        EvenTokenBucket { bucket: TokenBucket::new(0.0, now_ms), fraction: None }
+        FractionalTokenBucket { bucket: TokenBucket::new(0.0, now_ms), fraction: None }
     }
 
     pub(crate) fn has_token(&self) -> bool {
@@ -60,16 +58,16 @@
         self.bucket.tokens -= tokens;
     }
 
-    /// Adds the tokens that came in since the last call, at so many a millisecond, up to a capacity.
+    /// Adds the tokens that accrued since the last call, at a rate per millisecond, up to a capacity.
     pub(crate) fn refill(&mut self, now_ms: f64, rate: f64, capacity: f64, rng: &mut SeededRandom) {
-        let income = self.bucket.income(now_ms, rate);
-        let due = self.fraction.unwrap_or_else(|| rng.0.rand_float()) + income;
+        let accrued = self.bucket.accrue(now_ms, rate);
+        let due = self.fraction.unwrap_or_else(|| rng.0.rand_float()) + accrued;
         self.fraction = Some(due.fract());
         if capacity >= 1.0 {
-            self.bucket.tokens = (self.bucket.tokens + income).min(capacity);
+            self.bucket.tokens = (self.bucket.tokens + accrued).min(capacity);
         } else if due >= 1.0 || due >= capacity {
-            let falls_due = due >= 1.0 && due.fract() < capacity;
-            self.bucket.tokens = if falls_due { 1.0 } else { 0.0 };
+            let issues_token = due >= 1.0 && due.fract() < capacity;
+            self.bucket.tokens = if issues_token { 1.0 } else { 0.0 };
         }
     }
 }
--- a/tests/module/split.rs
+++ b/tests/module/split.rs
@@ -11,7 +11,7 @@
         service_rate: (f64::from(service_rate) + 1.0) / 1000.0,
         horizon_ms: 50.0 + f64::from(horizon) * 10.0,
         cost_ms: f64::from(cost),
-        distance_cost_ms: f64::from(cost / 128),
+        locality_cost_ms: f64::from(cost / 128),
         max_share: 1.0,
     }
 }
@@ -42,7 +42,7 @@
     let usable = models.iter().filter(|model| free_rate(model) > 0.0);
     let usable: f64 = usable.map(|model| model.max_share).sum();
     let mut pairs = models.windows(2);
-    let equally_far = pairs.all(|pair| pair[0].distance_cost_ms == pair[1].distance_cost_ms);
+    let equally_far = pairs.all(|pair| pair[0].locality_cost_ms == pair[1].locality_cost_ms);
     let free: f64 = models.iter().map(free_rate).sum();
     equally_far && free > arrival_rate && usable > 1.0
 }
@@ -120,7 +120,7 @@
         service_rate: 0.01,
         horizon_ms: 100.0,
         cost_ms: 0.0,
-        distance_cost_ms: 0.0,
+        locality_cost_ms: 0.0,
         max_share: 1.0,
     };
     let with_queue = |queue| QueueModel { queue, ..one };
