--- a/src/balancer/admission.rs
+++ b/src/balancer/admission.rs
@@ -1,18 +1,18 @@
-//! Admission: how requests come in, the quotas of tenants, and which requests are shed under overload.
+//! Admission control: the arrival of requests, tenant quotas, and load shedding.
 
 use super::{Balancer, Timer};
 use crate::state::Request;
 use crate::types::{Actions, Idempotency, NewRequest, RequestId};
 use std::sync::Arc;
 
-const SAVED_QUOTA_MS: f64 = 2000.0; // unused quota can be saved up for so long, as requests come unevenly,
-pub(super) const MIN_SAVED_REQUESTS: f64 = 3.0; // and so many requests at least, for a small part of a quota
-const OPEN_TO_ALL: f64 = 0.6; // utilization up to which requests of no priority are let in
-const KEPT_FOR_PRIORITY: f64 = 0.4;
-const SHEDDING_EXPONENT: i32 = -4; // a lower one lets endpoints jam, a higher one makes their load swing
+const QUOTA_BURST_MS: f64 = 2000.0; // unused quota accrues for this time, to allow for bursts
+pub(super) const MIN_QUOTA_BURST: f64 = 3.0; // requests; the least burst of a small quota
+const UNRESERVED_UTILIZATION: f64 = 0.6; // up to this utilization all requests are admitted
+const PRIORITY_RESERVE: f64 = 0.4; // utilization reserved for requests of high priority
+const SHEDDING_EXPONENT: i32 = -4; // a smaller magnitude allows overload, a larger one makes load oscillate
 
 impl Balancer {
-    /// A request has come in; it will get exactly one final answer.
+    /// Handles a new request, which will get exactly one final response.
     pub fn request_arrived(&mut self, out: &mut dyn Actions, now_ms: f64, arrival: &NewRequest) {
         self.now_ms = now_ms;
         let (id, request) = (arrival.request, self.new_request(arrival));
@@ -23,23 +23,23 @@
             self.set_timer(out, abandon_at_ms, Timer::Abandon { request: id, at_ms: abandon_at_ms });
         }
         if !self.probe_candidates(out, id) {
-            self.proceed(out, id);
+            self.continue_request(out, id);
         }
     }
 
     fn new_request(&mut self, arrival: &NewRequest) -> Request {
         let priority = self.priority(arrival);
         let settings = Arc::clone(&self.classes[arrival.class.index()].settings);
-        // Responses that slow clients read keep others from theirs. Where a late one is worth nothing and a
-        // repeat is harmless, the request ends at its latency objective and its place is free.
-        let may_end = settings.late_weight <= 0.0 && settings.idempotency == Idempotency::Idempotent;
-        let ends_early = self.settings.few_buffered_responses && may_end;
+        // With few response buffers, slow readers block other requests. An idempotent request whose late
+        // response has no value is abandoned at its latency objective, to free its buffer.
+        let may_abandon = settings.late_weight <= 0.0 && settings.idempotency == Idempotency::Idempotent;
+        let abandons_late = self.settings.few_buffered_responses && may_abandon;
         let objective_at_ms = self.now_ms + settings.latency_objective_ms;
         Request {
             class: arrival.class,
-            // Where clocks differ a request with time left may look expired. Its sender keeps the real end.
+            // The margin covers clock skew; the client enforces the actual deadline.
             deadline_ms: self.now_ms + arrival.ttl_ms + self.settings.deadline_margin_ms,
-            abandon_at_ms: if ends_early { objective_at_ms } else { f64::MAX },
+            abandon_at_ms: if abandons_late { objective_at_ms } else { f64::MAX },
             priority,
             affinity_key: arrival.key.filter(|_| self.settings.key_affinity),
             settings,
@@ -48,7 +48,7 @@
         }
     }
 
-    /// A request's priority from 0 to 1: the weight of its class over the highest, less what is over a quota.
+    /// The priority from 0 to 1: the relative weight of the class, reduced if the tenant is over its quota.
     pub(super) fn priority(&mut self, arrival: &NewRequest) -> f64 {
         let weights = self.classes.iter().map(|class| class.settings.priority_weight);
         let highest = weights.fold(f64::MIN_POSITIVE, f64::max);
@@ -56,24 +56,24 @@
         let tenant = arrival.tenant.and_then(|tenant| self.tenants.get_mut(tenant.index()));
         let Some(tenant) = tenant else { return priority };
         let rate = self.process_share * tenant.quota_per_ms / self.proxy_count;
-        let capacity = (tenant.quota_per_ms * SAVED_QUOTA_MS / self.proxy_count).max(MIN_SAVED_REQUESTS);
+        let capacity = (tenant.quota_per_ms * QUOTA_BURST_MS / self.proxy_count).max(MIN_QUOTA_BURST);
         tenant.bucket.refill(self.now_ms, rate, capacity);
-        // A client's retry belongs to its first request and is not counted again.
-        let price = if arrival.client_retry { 0.0 } else { 1.0 };
-        let weight = if tenant.bucket.try_take(price) { 1.0 } else { self.settings.over_quota_weight };
+        // A client's retry was counted with its first request.
+        let cost = if arrival.client_retry { 0.0 } else { 1.0 };
+        let weight = if tenant.bucket.try_take(cost) { 1.0 } else { self.settings.over_quota_weight };
         priority * weight
     }
 
-    /// Whether a request may have an attempt. Under overload the last of the capacity is kept for those of
-    /// high priority; one that may have run is let in, as that work would be lost.
+    /// Whether a request may start an attempt. Under overload, capacity is reserved for high priorities. A
+    /// request that may have executed is admitted, as its work would be wasted otherwise.
     pub(super) fn admits(&mut self, id: RequestId) -> bool {
         let request = &self.requests[&id];
-        let open = OPEN_TO_ALL + KEPT_FOR_PRIORITY * request.priority.sqrt();
-        let overload = self.admission_utilization() / open;
+        let utilization_limit = UNRESERVED_UTILIZATION + PRIORITY_RESERVE * request.priority.sqrt();
+        let overload = self.admission_utilization() / utilization_limit;
         if overload <= 1.0 || request.may_have_executed() {
             return true;
         }
-        // Reports may be old. Were all requests shed, the fleet would empty, then jam: chance lets some in.
+        // Reports may be stale: shedding all requests would make the load oscillate, so some are admitted.
         self.settings.load_by_probes && self.rng.0.rand_float() < overload.powi(SHEDDING_EXPONENT)
     }
 }
--- a/src/balancer/estimator.rs
+++ b/src/balancer/estimator.rs
@@ -127,8 +127,8 @@
         self.warm_throughput = decayed.max(throughput);
     }
 
-    /// Moves unfavorable statistics without recent samples towards their initial values. Otherwise, an endpoint
-    /// that gets hardly any requests would not be seen to recover. Load probes make this unnecessary.
+    /// Moves unfavorable statistics without recent samples towards their initial values. Otherwise, recovery
+    /// of an endpoint that gets hardly any requests would go unnoticed. Load probes make this unnecessary.
     pub(super) fn decay_stale_statistics(&mut self, elapsed_ms: f64) {
         let (now_ms, by_probes) = (self.now_ms, self.settings.load_by_probes);
         let factor = decay_factor(elapsed_ms, THROUGHPUT_TIME_CONSTANT_MS);
--- a/src/balancer/mod.rs
+++ b/src/balancer/mod.rs
@@ -244,6 +244,6 @@
 fn new_tenant(tenant: &TenantSettings) -> Tenant {
     Tenant {
         quota_per_ms: tenant.quota_per_s / 1000.0,
-        bucket: TokenBucket::new(admission::MIN_SAVED_REQUESTS, 0.0),
+        bucket: TokenBucket::new(admission::MIN_QUOTA_BURST, 0.0),
     }
 }
--- a/src/balancer/solver.rs
+++ b/src/balancer/solver.rs
@@ -102,7 +102,7 @@
 
     /// Narrows candidates down to those that a request has asked for their load, or that its key belongs to,
     /// with their shares among these; leaves them as they are where there are none.
-    pub(super) fn narrow(&self, id: RequestId, candidates: Vec<Candidate>) -> Vec<Candidate> {
+    pub(super) fn restrict_candidates(&self, id: RequestId, candidates: Vec<Candidate>) -> Vec<Candidate> {
         let request = &self.requests[&id];
         let offered = candidates.iter().map(|candidate| candidate.endpoint);
         let narrowed: Vec<EndpointId> = if self.settings.load_by_probes {
