--- a/src/balancer/admission.rs
+++ b/src/balancer/admission.rs
@@ -13,17 +13,17 @@
 
 impl Balancer {
     /// Handles a new request, which will get exactly one final response.
-    pub fn request_arrived(&mut self, out: &mut dyn Actions, now_ms: f64, arrival: &NewRequest) {
+    pub fn request_arrived(&mut self, actions: &mut dyn Actions, now_ms: f64, arrival: &NewRequest) {
         self.now_ms = now_ms;
         let (id, request) = (arrival.request, self.new_request(arrival));
         let abandon_at_ms = request.abandon_at_ms;
         self.requests.insert(id, request);
         self.solve();
         if abandon_at_ms < f64::MAX {
-            self.set_timer(out, abandon_at_ms, Timer::Abandon { request: id, at_ms: abandon_at_ms });
+            self.set_timer(actions, abandon_at_ms, Timer::Abandon { request: id, at_ms: abandon_at_ms });
         }
-        if !self.probe_candidates(out, id) {
-            self.continue_request(out, id);
+        if !self.probe_candidates(actions, id) {
+            self.continue_request(actions, id);
         }
     }
 
--- a/src/balancer/estimator.rs
+++ b/src/balancer/estimator.rs
@@ -146,7 +146,7 @@
 
 impl Endpoint {
     fn learn_errors(&mut self, observation: &Observation, now_ms: f64) {
-        // Only a success gets a higher weight after a silence: one failure is weak evidence.
+        // Only a success gets a higher weight after a pause, as a single failure is weak evidence.
         let weight = if observation.succeeded() { observation.weight } else { MIN_WEIGHT };
         let rejected = observation.outcome == AttemptOutcome::Rejected;
         let failed = !observation.succeeded() && !observation.abandoned && !rejected;
--- a/src/balancer/mod.rs
+++ b/src/balancer/mod.rs
@@ -1,14 +1,14 @@
-//! Every decision of crankmux: events in, actions out. A proxy makes one [`Balancer`] from its settings and
-//! tells it, with the present time, what happens; the answers leave by the [`Actions`] given with each call.
+//! The load-balancing decisions of crankmux. A proxy creates one [`Balancer`] from its settings, reports each
+//! event to it with the current time, and carries out the [`Actions`] that it calls in return.
 //!
-//! The mechanism is MCMS (docs/design.md): `solver` describes each endpoint of the `subset` as a queue,
-//! `split` finds the shares that minimise the expected time, and each request is drawn by these.
-//! `candidates`, `admission`, `slow_start` and `probing` narrow the draw; `estimator` and `load` learn what
-//! the split goes by; `retries` leads a request to its one final answer; `endpoint_list` follows the list of
-//! endpoints.
+//! The algorithm is MCMS (docs/design.md): `solver` models each endpoint of the `subset` as a queue, `split`
+//! computes the shares that minimize the expected latency and cost, and each request is assigned to a random
+//! endpoint by these shares. `candidates`, `admission`, `slow_start` and `probing` restrict the choice;
+//! `estimator` and `load` estimate the inputs of the split; `retries` takes each request to its final
+//! response; `endpoint_list` applies updates of the endpoint list.
 //!
-//! This file holds the record that they share and what only changes it, and decides nothing: the other files
-//! of this folder are the `policy` of deploy/balancer.toml, whose length is bounded.
+//! This file holds the shared state and makes no decisions. The other files of this directory are the
+//! `policy` of deploy/balancer.toml, whose length is bounded.
 
 mod admission;
 mod candidates;
@@ -34,24 +34,24 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-/// An endpoint that fails more of its attempts than this is reported as avoided.
+/// Endpoints with a higher error rate count as avoided in [`Balancer::endpoint_counts`].
 const AVOIDED_ERROR_RATE: f64 = 0.95;
-/// The record of a removed endpoint is kept for so long after its last answer.
-const FORGET_AFTER_MS: f64 = 60_000.0;
+/// How long the record of a removed endpoint is kept after its last response.
+const REMOVED_ENDPOINT_TTL_MS: f64 = 60_000.0;
 
-/// What is to be done when a timer expires.
+/// The action to take when a timer expires.
 enum Timer {
-    /// Ask for the endpoint list.
+    /// Request the endpoint list.
     EndpointList,
-    /// Wait no longer for the load reports that a request has asked for.
+    /// Stop waiting for the load probes of a request.
     ProbeWait { request: RequestId },
-    /// Hedge an attempt that is overdue.
+    /// Hedge an overdue attempt.
     Hedge { key: AttemptKey, sent_at_ms: f64 },
-    /// Give a request up whose answer would be worth nothing any more.
+    /// Abandon a request whose response would have no value any more.
     Abandon { request: RequestId, at_ms: f64 },
 }
 
-/// The decisions of one proxy.
+/// The load balancer of one proxy.
 #[derive(Default)]
 pub struct Balancer {
     rng: SeededRandom,
@@ -59,37 +59,39 @@
     settings: Settings,
     classes: Vec<RequestClass>,
     tenants: Vec<Tenant>,
-    /// How many proxies share the fleet.
+    /// The number of proxies that share the endpoints.
     proxy_count: f64,
-    /// This process's part of the proxy, and of the slow-start budget that the number of proxies leaves it.
+    /// This process's share of the proxy's traffic; below 1 while two processes run during an upgrade.
     process_share: f64,
+    /// This process's share of the slow-start budget of a configured proxy.
     slow_start_share: f64,
     endpoints: BTreeMap<EndpointId, Endpoint>,
-    /// The endpoints that this proxy draws from, and how many proxies share each of them in the mean.
+    /// The endpoints that this proxy sends requests to.
     subset: Vec<EndpointId>,
+    /// The mean number of proxies that share an endpoint.
     proxies_per_endpoint: f64,
     subset_chosen_at_ms: f64,
     requests: BTreeMap<RequestId, Request>,
     pending_attempts: BTreeMap<AttemptKey, PendingAttempt>,
-    /// The endpoints that were asked for their load and have not answered.
-    probes: BTreeSet<EndpointId>,
+    /// Endpoints with a load probe in flight.
+    pending_probes: BTreeSet<EndpointId>,
     timers: BTreeMap<u64, Timer>,
-    last_timer: u64,
+    last_timer_id: u64,
     list_backoff_ms: f64,
     mean_latency_ms: f64,
-    /// The multiple of the expected latency that nineteen of twenty answers stay under.
+    /// Estimated 95th percentile of the latency relative to the expected latency.
     tail_multiple: f64,
     attempt_rate: EventRate,
     warm_throughput: f64,
     solved_at_ms: f64,
     mean_relative_latency: f64,
     mean_queue: f64,
-    /// The arrivals from all proxies, as a part of all service rates.
-    arrival_rate: f64,
+    /// Arrival rate from all proxies relative to the total service rate of the subset.
+    traffic_intensity: f64,
 }
 
 impl Balancer {
-    /// A balancer with these settings that draws from this seed.
+    /// Creates a balancer whose random choices are derived from a seed.
     pub fn new(settings: Settings, seed: u64) -> Self {
         let classes: Vec<_> = settings.classes.iter().map(new_class).collect();
         let latencies_ms = classes.iter().map(|class| class.mean_latency_ms);
@@ -107,7 +109,7 @@
         }
     }
 
-    /// New settings. Requests under way keep the terms that they came under, and what was learned stays.
+    /// Applies new settings. Open requests keep the class settings of their arrival; learned state is kept.
     pub fn update_settings(&mut self, settings: Settings) {
         let mut new = Balancer::new(settings, 0);
         new.restore_learned_state(&self.learned_state());
@@ -121,8 +123,9 @@
         self.invalidate_solution();
     }
 
-    /// This process's share of the proxy, as two processes of an upgrade would spend its budgets twice; how
-    /// many proxies there are, where they know each other; and its part of the slow-start budget of one.
+    /// Sets this process's share of the proxy, so that two processes of an upgrade don't spend its budgets
+    /// twice; the number of proxies, if known from the cluster; and this proxy's share of the slow-start
+    /// budget of a configured proxy.
     pub fn set_process_share(&mut self, share: f64, proxies: Option<f64>, slow_start: f64) {
         self.proxy_count = proxies.unwrap_or(self.settings.proxy_count).max(1.0);
         self.process_share = share;
@@ -130,7 +133,7 @@
         self.invalidate_solution();
     }
 
-    /// What it has learned, for a process that comes after this one.
+    /// Exports the learned state for the next process of this proxy.
     pub fn learned_state(&self) -> LearnedState {
         let classes = self.classes.iter().map(|class| (class.mean_latency_ms, class.successes));
         let endpoints = self.endpoints.iter().map(|(id, endpoint)| (*id, endpoint.statistics));
@@ -143,8 +146,8 @@
         }
     }
 
-    /// Takes over what the process before this one has learned. One that knows of no endpoint what it bears
-    /// would give those that are warming up nothing, and all others too little.
+    /// Restores the state that the previous process learned. Without throughput estimates, endpoints in slow
+    /// start would get no requests and the others too few.
     pub fn restore_learned_state(&mut self, learned: &LearnedState) {
         self.mean_latency_ms = learned.mean_latency_ms;
         self.tail_multiple = learned.tail_multiple;
@@ -160,73 +163,71 @@
         }
     }
 
-    /// Whether it holds a record of this endpoint; an index that it does not hold may stand for another.
+    /// Whether there is a record of this endpoint. The index of an unknown endpoint may be reused.
     pub fn knows_endpoint(&self, endpoint: EndpointId) -> bool {
         self.endpoints.contains_key(&endpoint)
     }
 
-    /// How many endpoints are listed, and how many of them are disabled or fail nearly always.
+    /// The number of listed endpoints, and how many of them are disabled or fail nearly all attempts.
     pub fn endpoint_counts(&self) -> (usize, usize) {
         let listed = || self.endpoints.values().filter(|endpoint| endpoint.state != EndpointState::Removed);
         let fails = |endpoint: &Endpoint| endpoint.statistics.error_rate > AVOIDED_ERROR_RATE;
         (listed().count(), listed().filter(|endpoint| endpoint.disabled || fails(endpoint)).count())
     }
 
-    /// A long body is streamed to or from an attempt's endpoint, which binds the request to it. The endpoint
-    /// works at it only from the body's last byte in to the response, or slow clients would use up limits.
+    /// Binds a request to an attempt whose body is being streamed. The attempt counts as in flight only while
+    /// the endpoint works on it, from the end of the request body to the start of the response, so that slow
+    /// clients don't use up the limit.
     pub fn streaming(&mut self, now_ms: f64, request: RequestId, attempt: usize, endpoint_works: bool) {
         self.now_ms = now_ms;
         let key = (request, attempt);
         let Some(request) = self.requests.get_mut(&request) else { return };
         request.bound_to_attempt = true;
         let Some(attempt) = request.attempts.get(attempt).filter(|attempt| attempt.in_flight) else { return };
-        let endpoint = self.endpoints.get_mut(&attempt.endpoint).expect("it is kept for its attempts");
+        let endpoint = self.endpoints.get_mut(&attempt.endpoint).expect("endpoints with attempts are kept");
         endpoint.set_in_flight(key, attempt.timing, endpoint_works);
     }
 
-    /// A timer that was set by [`Actions::set_timer`] has expired.
-    pub fn timer_expired(&mut self, out: &mut dyn Actions, now_ms: f64, timer: u64) {
+    /// Handles the expiry of a timer set by [`Actions::set_timer`].
+    pub fn timer_expired(&mut self, actions: &mut dyn Actions, now_ms: f64, timer: u64) {
         self.now_ms = now_ms;
         match self.timers.remove(&timer) {
             None => {}
-            Some(Timer::EndpointList) => self.ask_for_endpoints(out),
-            Some(Timer::ProbeWait { request }) => self.end_probe_wait(out, request),
-            Some(Timer::Hedge { key, sent_at_ms }) => self.hedge(out, key, sent_at_ms),
-            Some(Timer::Abandon { request, at_ms }) => self.abandon_request(out, request, at_ms),
+            Some(Timer::EndpointList) => self.request_endpoint_list(actions),
+            Some(Timer::ProbeWait { request }) => self.end_probe_wait(actions, request),
+            Some(Timer::Hedge { key, sent_at_ms }) => self.hedge(actions, key, sent_at_ms),
+            Some(Timer::Abandon { request, at_ms }) => self.abandon_request(actions, request, at_ms),
         }
     }
 
-    /// The first endpoints of a key, of those offered, in the order that all proxies know alike.
-    fn rendezvous_candidates(
-        &self,
-        key: Option<u64>,
-        offered: impl Iterator<Item = EndpointId>,
-    ) -> Vec<EndpointId> {
+    /// The endpoints preferred by a key among those offered, in an order that is the same on all proxies.
+    fn rendezvous_top(&self, key: Option<u64>, offered: impl Iterator<Item = EndpointId>) -> Vec<EndpointId> {
         let Some(key) = key else { return Vec::new() };
         let hashes = offered.map(|id| (id, self.endpoints[&id].stable_hash));
-        ranking::rendezvous_first(key, solver::RENDEZVOUS_CANDIDATES, hashes)
+        ranking::rendezvous_top(key, solver::RENDEZVOUS_CANDIDATES, hashes)
     }
 
-    fn set_timer(&mut self, out: &mut dyn Actions, at_ms: f64, timer: Timer) {
-        self.last_timer += 1;
-        self.timers.insert(self.last_timer, timer);
-        out.set_timer(at_ms, self.last_timer);
+    fn set_timer(&mut self, actions: &mut dyn Actions, at_ms: f64, timer: Timer) {
+        self.last_timer_id += 1;
+        self.timers.insert(self.last_timer_id, timer);
+        actions.set_timer(at_ms, self.last_timer_id);
     }
 
-    /// Replaced endpoints would fill the memory; an index used again too early would stand for two of them.
-    fn forget_removed(&mut self) {
+    /// Drops the records of removed endpoints to bound memory, except those in use, as an index may be reused
+    /// for another endpoint.
+    fn purge_removed_endpoints(&mut self) {
         let (now_ms, requests) = (self.now_ms, &self.requests);
         self.endpoints.retain(|id, endpoint| {
             endpoint.state != EndpointState::Removed
                 || endpoint.disabled
-                || now_ms - endpoint.last_response_at_ms <= FORGET_AFTER_MS
+                || now_ms - endpoint.last_response_at_ms <= REMOVED_ENDPOINT_TTL_MS
                 || !endpoint.in_flight.is_empty()
                 || requests.values().any(|request| request.has_tried(*id))
         });
         self.subset.retain(|id| self.endpoints.contains_key(id));
     }
 
-    /// The next decision solves the split anew, over a subset chosen anew.
+    /// Makes the next decision choose a new subset and solve the split again.
     fn invalidate_solution(&mut self) {
         self.solved_at_ms = f64::NEG_INFINITY;
         self.subset_chosen_at_ms = f64::NEG_INFINITY;
--- a/src/ranking.rs
+++ b/src/ranking.rs
@@ -13,7 +13,7 @@
 }
 
 /// Returns the `count` endpoints of lowest rendezvous rank, given each with its stable hash.
-pub(crate) fn rendezvous_first(
+pub(crate) fn rendezvous_top(
     key: u64,
     count: usize,
     endpoints: impl Iterator<Item = (EndpointId, u64)>,
--- a/src/state.rs
+++ b/src/state.rs
@@ -27,7 +27,7 @@
 pub(crate) struct Tenant {
     /// Requests per millisecond, over all proxies, that keep their full priority.
     pub(crate) quota_per_ms: f64,
-    /// This proxy's share of the quota.
+    /// The token bucket of this proxy's share of the quota.
     pub(crate) bucket: TokenBucket,
 }
 
