--- a/src/balancer/estimator.rs
+++ b/src/balancer/estimator.rs
@@ -13,7 +13,7 @@
 const WARM_THROUGHPUT_TIME_CONSTANT_MS: f64 = 60_000.0;
 const MIN_WEIGHT: f64 = 0.1; // averages over about ten attempts
 const MAX_WEIGHT: f64 = 0.5;
-const FULL_WEIGHT_IDLE_MS: f64 = 2000.0; // the weight is the time since the last response divided by this
+const FULL_WEIGHT_AFTER_MS: f64 = 2000.0; // the weight is the time since the last response divided by this
 const MIN_CLASS_WEIGHT: f64 = 0.002;
 const BEST_LATENCY_WEIGHT: f64 = 0.005;
 const MAX_SAMPLE_RATIO: f64 = 10.0; // to the average
@@ -26,7 +26,7 @@
 const STALE_AFTER_MS: f64 = 1000.0;
 const MAX_QUEUE_REPORT_AGE_MS: f64 = 5000.0;
 const MAX_CPU_REPORT_AGE_MS: f64 = 2000.0;
-const FREE_CPU_UTILIZATION: f64 = 0.75; // below this the CPU can't be the cause of a delay
+const FREE_CPU_UTILIZATION: f64 = 0.75; // below this the CPU is not held to cause a delay
 
 impl Balancer {
     /// Stores a load report unless it repeats the last one, as endpoints do until they refresh it.
@@ -87,7 +87,7 @@
         let trusts_cpu = !settings.load_by_probes || settings.few_buffered_responses;
         let share = endpoint.statistics.concurrency_limit / self.proxies_per_endpoint;
         let share_in_use = settings.load_by_probes || endpoint.own_in_flight() >= LIMIT_GROWTH_SHARE * share;
-        let idle_ms = self.now_ms - endpoint.last_response_at_ms;
+        let since_response_ms = self.now_ms - endpoint.last_response_at_ms;
         Some(Observation {
             timing,
             outcome,
@@ -96,7 +96,7 @@
             lost: outcome == AttemptOutcome::TimedOut && (!unresponsive || idle),
             external_delay: not_busy && trusts_cpu && overdue,
             queue_empty,
-            weight: (idle_ms / FULL_WEIGHT_IDLE_MS).clamp(MIN_WEIGHT, MAX_WEIGHT),
+            weight: (since_response_ms / FULL_WEIGHT_AFTER_MS).clamp(MIN_WEIGHT, MAX_WEIGHT),
             previous_relative_latency: endpoint.statistics.relative_latency.unwrap_or(1.0),
             limit_in_use: share_in_use && self.utilization() > LIMIT_GROWTH_UTILIZATION,
             load_by_probes: settings.load_by_probes,
--- a/src/ranking.rs
+++ b/src/ranking.rs
@@ -12,7 +12,7 @@
     mix(stable_hash, stable_hash ^ permutation_seed)
 }
 
-/// Returns the `count` endpoints of lowest rendezvous rank, given each with its stable hash.
+/// Returns the `count` endpoints of lowest rendezvous rank among those given with their stable hashes.
 pub(crate) fn rendezvous_top(
     key: u64,
     count: usize,
