--- a/membership/src/authentication.rs
+++ b/membership/src/authentication.rs
@@ -1,83 +1,83 @@
-//! Authentication of datagrams by a keyed hash, against garbage, strangers, and replays of minutes ago.
+//! Datagram authentication: a keyed hash rejects corrupted and foreign datagrams, a sequence number window replays.
 
 use std::collections::BTreeMap;
 
-/// The longest datagram: passes unfragmented wherever IPv6 does.
+/// The maximum datagram length, within the IPv6 minimum MTU of 1280 bytes so that datagrams are not fragmented.
 pub const MAX_DATAGRAM_LENGTH: usize = 1200;
-/// Version, kind, and three numbers: sender, incarnation, sequence number. The tag stands at the end.
-const HEADER_LENGTH: usize = 2 + 3 * NUMBER_LENGTH;
-const NUMBER_LENGTH: usize = size_of::<u64>();
+/// Format version, kind, sender ID, incarnation, and sequence number. The tag follows the body.
+const HEADER_LENGTH: usize = 2 + 3 * U64_LENGTH;
+const U64_LENGTH: usize = size_of::<u64>();
 const TAG_LENGTH: usize = blake3::OUT_LEN;
-/// The longest body of a datagram.
+/// The maximum length of a datagram's body.
 pub const MAX_BODY_LENGTH: usize = MAX_DATAGRAM_LENGTH - HEADER_LENGTH - TAG_LENGTH;
-const VERSION: u8 = 1;
-/// Sets these keys apart from those of other uses of a secret. It is part of the format.
+const FORMAT_VERSION: u8 = 1;
+/// Key derivation context, part of the wire format: separates these keys from other uses of the same secret.
 const KEY_CONTEXT: &str = "crankmux fleet datagrams, version 1";
-/// Senders remembered: several times the largest cluster that is planned for.
+/// Bounds the memory for replay windows; several times the largest supported cluster.
 const MAX_SENDERS: usize = 4096;
-/// How many sequence numbers below the highest are told apart.
+/// How many sequence numbers below the highest one can still be accepted.
 const REPLAY_WINDOW: u64 = u64::BITS as u64;
 
-/// The shortest secret, in bytes: a shorter one is guessed.
+/// The minimum length of a secret in bytes.
 pub const MIN_KEY_LENGTH: usize = 16;
 
 /// Why a datagram was rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum AuthenticationError {
-    /// Too short, too long, or of another version.
-    #[error("datagram is malformed or of another version")]
+    /// It is too short, too long, or has another format version.
+    #[error("datagram is malformed or has an unsupported format version")]
     Malformed,
-    /// Its tag fits no key that is accepted here.
-    #[error("datagram is authenticated by an unknown key")]
+    /// Its tag matches none of the accepted keys.
+    #[error("datagram tag matches none of the cluster keys")]
     UnknownKey,
-    /// Its sequence number was received before, or is too old to tell.
-    #[error("datagram of sender {sender:016x}, incarnation {incarnation}, is a replay")]
+    /// Its sequence number was received before or is below the replay window.
+    #[error("datagram from sender {sender_id:016x}, incarnation {incarnation}, is a replay")]
     Replayed {
-        /// The sender's number.
-        sender: u64,
-        /// The incarnation that sent it.
+        /// The sender ID.
+        sender_id: u64,
+        /// The incarnation of the sender.
         incarnation: u64,
     },
-    /// It is from an earlier incarnation of its sender.
-    #[error("datagram of sender {sender:016x} is of an incarnation before {latest}")]
+    /// It is from a superseded incarnation of the sender.
+    #[error("datagram from sender {sender_id:016x} is superseded by incarnation {latest}")]
     Superseded {
-        /// The sender's number.
-        sender: u64,
-        /// The latest incarnation that was received.
+        /// The sender ID.
+        sender_id: u64,
+        /// The latest incarnation received from the sender.
         latest: u64,
     },
 }
 
-/// Why secrets were not accepted as keys.
+/// Why secrets were rejected as cluster keys.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum KeyError {
-    /// There is no secret.
-    #[error("a fleet's key needs {} characters at least", MIN_KEY_LENGTH)]
+    /// No secret is given.
+    #[error("no cluster key is configured")]
     Missing,
     /// A secret is shorter than [`MIN_KEY_LENGTH`].
-    #[error("a fleet's key needs {} characters at least", MIN_KEY_LENGTH)]
+    #[error("cluster key is shorter than {} bytes", MIN_KEY_LENGTH)]
     TooShort,
 }
 
-/// What was in an authenticated datagram.
+/// The contents of an authenticated datagram.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct VerifiedDatagram<'a> {
-    /// The sender's number.
-    pub sender: u64,
-    /// The incarnation that sent it.
+    /// The sender ID.
+    pub sender_id: u64,
+    /// The incarnation of the sender.
     pub incarnation: u64,
-    /// What the body is; the caller's.
+    /// The type of the body, defined by the caller.
     pub kind: u8,
-    /// The body.
+    /// The payload.
     pub body: &'a [u8],
 }
 
-/// The sequence numbers received of a sender's latest incarnation.
+/// The sequence numbers received from a sender's latest incarnation.
 struct ReplayWindow {
     incarnation: u64,
-    highest: u64,
-    /// Which of the numbers below the highest were received, the next lower in the lowest bit.
-    received_below: u64,
+    highest_sequence: u64,
+    /// Which sequence numbers below the highest were received; bit 0 stands for the highest minus one.
+    received_bitmap: u64,
     last_received_ms: f64,
 }
 
@@ -85,67 +85,70 @@
     fn new(incarnation: u64, now_ms: f64) -> Self {
         ReplayWindow {
             incarnation,
-            highest: 0,
-            received_below: 0,
+            highest_sequence: 0,
+            received_bitmap: 0,
             last_received_ms: now_ms,
         }
     }
 
-    /// Takes in a sequence number. Returns false if it was received before, or is too old to tell.
+    /// Records a sequence number. Returns false if it was received before or is below the window.
     fn accept(&mut self, sequence: u64) -> bool {
-        if sequence > self.highest {
-            let advance = sequence - self.highest;
-            // The old highest joins those below it.
-            self.received_below = if advance > REPLAY_WINDOW {
+        if sequence > self.highest_sequence {
+            let advance = sequence - self.highest_sequence;
+            // The previous highest becomes a bit of the window.
+            self.received_bitmap = if advance > REPLAY_WINDOW {
                 0
             } else {
-                self.received_below.checked_shl(advance as u32).unwrap_or(0) | 1 << (advance - 1)
+                self.received_bitmap
+                    .checked_shl(advance as u32)
+                    .unwrap_or(0)
+                    | 1 << (advance - 1)
             };
-            self.highest = sequence;
+            self.highest_sequence = sequence;
             return true;
         }
-        let distance = self.highest - sequence;
+        let distance = self.highest_sequence - sequence;
         if distance == 0
             || distance > REPLAY_WINDOW
-            || self.received_below >> (distance - 1) & 1 == 1
+            || self.received_bitmap >> (distance - 1) & 1 == 1
         {
             return false;
         }
-        self.received_below |= 1 << (distance - 1);
+        self.received_bitmap |= 1 << (distance - 1);
         true
     }
 }
 
-/// Authenticates the datagrams that one proxy sends, and verifies those that it receives.
+/// Signs outgoing datagrams and verifies received ones.
 pub struct Authenticator {
     keys: Vec<[u8; blake3::KEY_LEN]>,
-    sender: u64,
+    sender_id: u64,
     incarnation: u64,
     last_sequence: u64,
     windows: BTreeMap<u64, ReplayWindow>,
 }
 
-/// A number that stands for a text, the same at every proxy.
+/// A hash of a text that is the same at every proxy.
 pub(crate) fn stable_hash(text: &str) -> u64 {
-    number_at(blake3::hash(text.as_bytes()).as_bytes(), 0)
+    read_u64_le(blake3::hash(text.as_bytes()).as_bytes(), 0)
 }
 
-/// The little-endian number at a place of a slice that is long enough.
-fn number_at(bytes: &[u8], at: usize) -> u64 {
-    let number = bytes[at..at + NUMBER_LENGTH].try_into();
-    u64::from_le_bytes(number.expect("a slice of eight bytes"))
+/// Decodes a little-endian number; panics if the slice is too short.
+fn read_u64_le(bytes: &[u8], at: usize) -> u64 {
+    let number = bytes[at..at + U64_LENGTH].try_into();
+    u64::from_le_bytes(number.expect("slice has eight bytes"))
 }
 
 impl Authenticator {
-    /// The first secret authenticates what is sent, all of them what is received: two while one is exchanged.
+    /// Signs with the first secret and accepts datagrams signed with any of them, so that keys can be rotated.
     ///
     /// # Errors
     ///
-    /// There is no secret, or one is too short.
-    pub fn new(secrets: &[&str], sender: u64, incarnation: u64) -> Result<Self, KeyError> {
+    /// Fails if there is no secret or if one is too short.
+    pub fn new(secrets: &[&str], sender_id: u64, incarnation: u64) -> Result<Self, KeyError> {
         Ok(Authenticator {
             keys: derive_keys(secrets)?,
-            sender,
+            sender_id,
             incarnation,
             last_sequence: 0,
             windows: BTreeMap::new(),
@@ -156,25 +159,25 @@
     ///
     /// # Errors
     ///
-    /// As of [`Authenticator::new`]; the old secrets stay.
+    /// Fails as [`Authenticator::new`] does, and keeps the previous secrets.
     pub fn set_keys(&mut self, secrets: &[&str]) -> Result<(), KeyError> {
         self.keys = derive_keys(secrets)?;
         Ok(())
     }
 
-    /// Goes on as a later incarnation of the same sender.
+    /// Switches to a later incarnation of the same sender, which numbers its datagrams from one again.
     pub fn set_incarnation(&mut self, incarnation: u64) {
         self.incarnation = incarnation;
         self.last_sequence = 0;
     }
 
-    /// The datagram of a body of at most [`MAX_BODY_LENGTH`] bytes.
+    /// Builds a signed datagram. The body has at most [`MAX_BODY_LENGTH`] bytes.
     pub fn sign(&mut self, kind: u8, body: &[u8]) -> Vec<u8> {
         debug_assert!(body.len() <= MAX_BODY_LENGTH);
         self.last_sequence += 1;
         let mut datagram = Vec::with_capacity(HEADER_LENGTH + body.len() + TAG_LENGTH);
-        datagram.extend([VERSION, kind]);
-        for number in [self.sender, self.incarnation, self.last_sequence] {
+        datagram.extend([FORMAT_VERSION, kind]);
+        for number in [self.sender_id, self.incarnation, self.last_sequence] {
             datagram.extend(number.to_le_bytes());
         }
         datagram.extend(body);
@@ -183,53 +186,53 @@
         datagram
     }
 
-    /// Verifies a datagram, and accepts it once.
+    /// Verifies a datagram. The same datagram is accepted only once.
     ///
     /// # Errors
     ///
-    /// It is malformed, of an unknown key, a replay, or from a superseded incarnation.
+    /// Fails if it is malformed, signed with an unknown key, a replay, or from a superseded incarnation.
     pub fn verify<'a>(
         &mut self,
         now_ms: f64,
         datagram: &'a [u8],
     ) -> Result<VerifiedDatagram<'a>, AuthenticationError> {
         let lengths = HEADER_LENGTH + TAG_LENGTH..=MAX_DATAGRAM_LENGTH;
-        if !lengths.contains(&datagram.len()) || datagram[0] != VERSION {
+        if !lengths.contains(&datagram.len()) || datagram[0] != FORMAT_VERSION {
             return Err(AuthenticationError::Malformed);
         }
         let (signed, tag) = datagram.split_at(datagram.len() - TAG_LENGTH);
-        let tag = blake3::Hash::from_bytes(tag.try_into().expect("split there"));
-        // Comparing hashes takes the same time wherever they differ.
+        let tag = blake3::Hash::from_bytes(tag.try_into().expect("tag has the length of a hash"));
+        // `blake3::Hash` compares in constant time.
         let mut keys = self.keys.iter();
         if !keys.any(|key| blake3::keyed_hash(key, signed) == tag) {
             return Err(AuthenticationError::UnknownKey);
         }
-        let field = |index: usize| number_at(signed, 2 + index * NUMBER_LENGTH);
+        let field = |index: usize| read_u64_le(signed, 2 + index * U64_LENGTH);
         let verified = VerifiedDatagram {
-            sender: field(0),
+            sender_id: field(0),
             incarnation: field(1),
             kind: signed[1],
             body: &signed[HEADER_LENGTH..],
         };
-        self.accept_once(now_ms, verified.sender, verified.incarnation, field(2))?;
+        self.check_replay(now_ms, verified.sender_id, verified.incarnation, field(2))?;
         Ok(verified)
     }
 
-    fn accept_once(
+    fn check_replay(
         &mut self,
         now_ms: f64,
-        sender: u64,
+        sender_id: u64,
         incarnation: u64,
         sequence: u64,
     ) -> Result<(), AuthenticationError> {
-        self.make_room_for(sender);
+        self.evict_oldest_if_full(sender_id);
         let window = self
             .windows
-            .entry(sender)
+            .entry(sender_id)
             .or_insert_with(|| ReplayWindow::new(incarnation, now_ms));
         if incarnation < window.incarnation {
             return Err(AuthenticationError::Superseded {
-                sender,
+                sender_id,
                 latest: window.incarnation,
             });
         }
@@ -241,7 +244,7 @@
         }
         if !window.accept(sequence) {
             return Err(AuthenticationError::Replayed {
-                sender,
+                sender_id,
                 incarnation,
             });
         }
@@ -249,9 +252,9 @@
         Ok(())
     }
 
-    /// Memory is bounded where names are ever new: the sender that was silent longest makes room for a new one.
-    fn make_room_for(&mut self, sender: u64) {
-        if self.windows.len() < MAX_SENDERS || self.windows.contains_key(&sender) {
+    /// Evicts the least recently heard sender if a new one would exceed [`MAX_SENDERS`].
+    fn evict_oldest_if_full(&mut self, sender_id: u64) {
+        if self.windows.len() < MAX_SENDERS || self.windows.contains_key(&sender_id) {
             return;
         }
         let last_received = |window: &ReplayWindow| window.last_received_ms;
@@ -259,7 +262,7 @@
             .windows
             .iter()
             .min_by(|a, b| last_received(a.1).total_cmp(&last_received(b.1)))
-            .map(|(sender, _)| *sender);
+            .map(|(sender_id, _)| *sender_id);
         if let Some(oldest) = oldest {
             self.windows.remove(&oldest);
         }
--- a/membership/src/incarnation_notices.rs
+++ b/membership/src/incarnation_notices.rs
@@ -16,14 +16,14 @@
 /// The latest incarnation that was heard of a sender.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct IncarnationNotice {
-    pub(crate) sender: u64,
+    pub(crate) sender_id: u64,
     pub(crate) incarnation: u64,
 }
 
 impl IncarnationNotice {
     /// The body of its datagram.
     pub(crate) fn encode(self) -> Vec<u8> {
-        [self.sender, self.incarnation]
+        [self.sender_id, self.incarnation]
             .iter()
             .flat_map(|field| field.to_le_bytes())
             .collect()
@@ -34,9 +34,9 @@
         if body.len() != 2 * FIELD_LENGTH {
             return None;
         }
-        let (sender, incarnation) = body.split_at(FIELD_LENGTH);
+        let (sender_id, incarnation) = body.split_at(FIELD_LENGTH);
         Some(IncarnationNotice {
-            sender: u64::from_le_bytes(sender.try_into().ok()?),
+            sender_id: u64::from_le_bytes(sender_id.try_into().ok()?),
             incarnation: u64::from_le_bytes(incarnation.try_into().ok()?),
         })
     }
@@ -50,13 +50,13 @@
 
 impl NoticeLimiter {
     /// Whether a sender may be told now; if so, it counts as told.
-    pub(crate) fn admit(&mut self, now_ms: f64, sender: u64) -> bool {
-        let last = self.last_sent_ms.get(&sender);
+    pub(crate) fn admit(&mut self, now_ms: f64, sender_id: u64) -> bool {
+        let last = self.last_sent_ms.get(&sender_id);
         let waited = last.is_none_or(|last_ms| now_ms - last_ms > NOTICE_INTERVAL_MS);
         if !waited || self.last_sent_ms.len() >= MAX_SENDERS {
             return false;
         }
-        self.last_sent_ms.insert(sender, now_ms);
+        self.last_sent_ms.insert(sender_id, now_ms);
         true
     }
 }
--- a/membership/src/lib.rs
+++ b/membership/src/lib.rs
@@ -1,23 +1,23 @@
-//! SWIM membership of a cluster of proxies, free of I/O: [`Membership`] is told which datagrams came and what the
-//! time is, and returns the datagrams to send, the time of its next timer, and what it knows.
+//! SWIM cluster membership for proxies, without I/O: [`Membership`] takes received datagrams and the current time, and
+//! returns the datagrams to send, the time of its next timer, and events.
 //!
-//! SWIM itself is `foca`'s; every datagram is authenticated by a keyed hash. What a proxy may assume of the others'
-//! load on the endpoints is decided in [`cluster_size`] and [`slow_start_shares`]. Times are milliseconds of the
-//! caller's clock. docs/membership.md weighs the alternatives.
+//! The SWIM protocol is implemented by `foca`; every datagram is authenticated with a keyed hash. [`cluster_size`] and
+//! [`slow_start_shares`] decide how much load on the endpoints a proxy attributes to its peers. All times are
+//! milliseconds of the caller's clock. See docs/membership.md for the design.
 
 #![deny(missing_docs)]
 
-/// What a proxy assumes of the load that other proxies put on the endpoints.
+/// The cluster size and slow-start share that a proxy uses for load balancing.
 pub mod assumptions;
-/// Authentication of datagrams by a keyed hash, with replay protection.
+/// Datagram authentication with a keyed hash and replay protection.
 pub mod authentication;
-/// Estimate of how many proxies send requests to the endpoints.
+/// Estimate of how many proxies send requests to the endpoints, from membership and load reports.
 pub mod cluster_size;
-/// What other proxies' endpoint lists say of endpoints, merged with the proxy's own list.
+/// Endpoint statuses gossiped by other proxies, merged with the proxy's own endpoint list.
 pub mod endpoint_gossip;
 mod gossip;
 mod incarnation_notices;
-/// Estimate of the number of proxies from the load reports of endpoints.
+/// Estimate of the number of proxies from the endpoints' load reports.
 pub mod load_estimate;
 mod member_set;
 mod member_table;
--- a/membership/src/member_table.rs
+++ b/membership/src/member_table.rs
@@ -53,8 +53,9 @@
     }
 
     /// The member that signs datagrams by this number.
-    pub(crate) fn by_sender(&self, sender: u64) -> Option<&Member> {
-        self.iter().find(|member| member.id.sender() == sender)
+    pub(crate) fn find_by_sender_id(&self, sender_id: u64) -> Option<&Member> {
+        self.iter()
+            .find(|member| member.id.sender_id() == sender_id)
     }
 
     /// A live member at another address that has the same name.
--- a/membership/src/membership.rs
+++ b/membership/src/membership.rs
@@ -75,7 +75,7 @@
     ) -> Result<Self, KeyError> {
         Ok(Membership {
             local_address_hash: address_hash(local.address),
-            authenticator: Authenticator::new(keys, local.sender(), local.incarnation)?,
+            authenticator: Authenticator::new(keys, local.sender_id(), local.incarnation)?,
             swim: Swim::new(local.clone(), random_seed),
             timers: TimerQueue::default(),
             seeds: Seeds::new(local.address, seeds, now_ms),
@@ -148,7 +148,7 @@
     ) -> Result<(), AuthenticationError> {
         match self.authenticator.verify(now_ms, datagram) {
             Ok(verified) => {
-                self.notify_if_left(now_ms, from, verified.sender, verified.incarnation);
+                self.notify_if_left(now_ms, from, verified.sender_id, verified.incarnation);
                 self.dispatch(now_ms, &verified);
                 Ok(())
             }
--- a/membership/src/membership/incarnations.rs
+++ b/membership/src/membership/incarnations.rs
@@ -16,13 +16,13 @@
         rejected: AuthenticationError,
     ) {
         match rejected {
-            AuthenticationError::Superseded { sender, latest } => {
-                self.send_notice(now_ms, from, sender, latest);
+            AuthenticationError::Superseded { sender_id, latest } => {
+                self.send_notice(now_ms, from, sender_id, latest);
             }
             AuthenticationError::Replayed {
-                sender,
+                sender_id,
                 incarnation,
-            } => self.notify_if_left(now_ms, from, sender, incarnation),
+            } => self.notify_if_left(now_ms, from, sender_id, incarnation),
             AuthenticationError::Malformed | AuthenticationError::UnknownKey => {}
         }
     }
@@ -32,7 +32,7 @@
         &mut self,
         now_ms: f64,
         from: SocketAddr,
-        sender: u64,
+        sender_id: u64,
         incarnation: u64,
     ) {
         let left = self.members.iter().find(|member| {
@@ -40,32 +40,32 @@
             member.state == MemberState::Left
                 && member.id.incarnation >= incarnation
                 && now_ms - member.since_ms > SUSPICION_TIMEOUT_MS
-                && member.id.sender() == sender
+                && member.id.sender_id() == sender_id
         });
         if let Some(latest) = left.map(|member| member.id.incarnation) {
-            self.send_notice(now_ms, from, sender, latest);
+            self.send_notice(now_ms, from, sender_id, latest);
         }
     }
 
-    fn send_notice(&mut self, now_ms: f64, from: SocketAddr, sender: u64, latest: u64) {
-        if !self.notice_limiter.admit(now_ms, sender) {
+    fn send_notice(&mut self, now_ms: f64, from: SocketAddr, sender_id: u64, latest: u64) {
+        if !self.notice_limiter.admit(now_ms, sender_id) {
             return;
         }
         let notice = IncarnationNotice {
-            sender,
+            sender_id,
             incarnation: latest,
         };
         let datagram = self
             .authenticator
             .sign(KIND_INCARNATION_NOTICE, &notice.encode());
         // Behind a translation of addresses a datagram seems to come from where nobody listens.
-        let member = self.members.by_sender(sender);
+        let member = self.members.find_by_sender_id(sender_id);
         let to = member.map_or(from, |member| member.id.address);
         self.datagrams.push((to, datagram));
     }
 
     pub(super) fn receive_notice(&mut self, now_ms: f64, notice: IncarnationNotice) {
-        let is_mine = notice.sender == self.local.sender();
+        let is_mine = notice.sender_id == self.local.sender_id();
         if !is_mine || notice.incarnation < self.local.incarnation {
             return;
         }
--- a/membership/src/types.rs
+++ b/membership/src/types.rs
@@ -1,72 +1,72 @@
-//! The data types of membership: identities, states of members, events, and endpoint gossip.
+//! Membership data types: node identities, member states, events, and endpoint gossip.
 
 use crate::authentication::stable_hash;
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// The identity of a proxy: the address at which others reach it, and its incarnation.
+/// The identity of a proxy: its advertised address and its incarnation.
 ///
-/// It is encoded by the order of its fields and travels between proxies.
+/// Sent between proxies in a positional encoding: the order of the fields is part of the wire format.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct NodeId {
-    /// The name that operators gave it.
+    /// The configured name.
     pub name: String,
     /// The zone it runs in.
     pub zone: String,
-    /// The address at which others reach it.
+    /// The advertised address.
     pub address: SocketAddr,
-    /// Unix milliseconds of its start, or more: a later incarnation has the higher number. foca's own incarnation,
-    /// by which a suspicion is refuted, is another and counts within this one.
+    /// The start time in Unix milliseconds, or a higher number; grows with each incarnation. Distinct from foca's own
+    /// incarnation number, which refutes suspicions and restarts with each of these.
     pub incarnation: u64,
-    /// The version of the program, the higher the later.
+    /// The program version as a number that grows with each release.
     pub program_version: u32,
-    /// A hash of the settings it holds.
+    /// A hash of the settings in use.
     pub settings_version: u64,
 }
 
 impl NodeId {
-    /// The number by which it signs datagrams. It covers the address too: two machines under one name would
-    /// otherwise reject each other's datagrams as replays, and supersede each other's incarnation by turns.
-    pub(crate) fn sender(&self) -> u64 {
+    /// The sender ID in signed datagrams. It covers the address as well as the name: otherwise, of two machines with
+    /// the same name, each would supersede the other's incarnation, and peers would drop their datagrams as replays.
+    pub(crate) fn sender_id(&self) -> u64 {
         stable_hash(&format!("{}@{}", self.name, self.address))
     }
 }
 
 /// One incarnation of a member, as two numbers that are the same at every proxy.
 ///
-/// Its hash goes into the digest of a member set, so the order of the fields is fixed.
+/// Hashed into member set digests, which proxies compare: the order of the fields must not change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct IncarnationKey {
     pub(crate) address_hash: u64,
     pub(crate) incarnation: u64,
 }
 
-/// The number that stands for an address, the same at every proxy.
+/// A hash of an address that is the same at every proxy.
 pub(crate) fn address_hash(address: SocketAddr) -> u64 {
     stable_hash(&address.to_string())
 }
 
-/// What is known of another member.
+/// The state of another member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MemberState {
     /// It answers probes.
     Alive,
-    /// It missed a probe and has time to refute the suspicion.
+    /// It missed a probe and may still refute the suspicion.
     Suspected,
-    /// It was declared failed; it may be cut off from here and still send requests.
+    /// It was declared failed. It may merely be unreachable from here and still send requests.
     Failed,
-    /// It said that it shuts down, and sends no more requests.
+    /// It announced its shutdown and sends no more requests.
     Left,
 }
 
-/// Another member, as it is known.
+/// Another member as known to this one.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Member {
-    /// Its latest known identity.
+    /// The latest known identity.
     pub id: NodeId,
-    /// Its state.
+    /// The current state.
     pub state: MemberState,
-    /// When it came into that state, in milliseconds of the caller's clock.
+    /// When it entered that state, in milliseconds of the caller's clock.
     pub since_ms: f64,
     address_hash: u64,
 }
@@ -81,12 +81,11 @@
         }
     }
 
-    /// The number that stands for its address.
     pub(crate) fn address_hash(&self) -> u64 {
         self.address_hash
     }
 
-    /// Its incarnation, as it goes into digests of member sets.
+    /// The incarnation as hashed into member set digests.
     pub(crate) fn incarnation_key(&self) -> IncarnationKey {
         IncarnationKey {
             address_hash: self.address_hash,
@@ -94,13 +93,13 @@
         }
     }
 
-    /// Whether it is alive as far as is known: a suspected member is until it is declared failed.
+    /// Whether it is alive or suspected: a suspected member counts as live until it is declared failed.
     pub(crate) fn is_live(&self) -> bool {
         matches!(self.state, MemberState::Alive | MemberState::Suspected)
     }
 }
 
-/// How many other members are in which state.
+/// The number of other members by state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct MemberCounts {
     /// Alive or suspected.
@@ -109,70 +108,70 @@
     pub failed: usize,
 }
 
-/// How much of the cluster that was last complete is reached, this proxy counted.
+/// How much of the known cluster is reachable. Counts include this proxy.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Reachability {
-    /// All members.
+    /// All members are reachable.
     Full,
-    /// Some members.
+    /// Some members are reachable.
     Partial {
-        /// How many members the cluster has.
+        /// The number of members in the cluster.
         members: usize,
-        /// How many of them are reached.
+        /// The number of reachable members.
         reached: usize,
-        /// Since when, in milliseconds of the caller's clock.
+        /// Start of the partition, in milliseconds of the caller's clock.
         since_ms: f64,
     },
-    /// Nobody else.
+    /// No other member is reachable.
     Isolated {
-        /// Since when, in milliseconds of the caller's clock.
+        /// Start of the isolation, in milliseconds of the caller's clock.
         since_ms: f64,
     },
 }
 
-/// How much of one zone is reached.
+/// How much of a zone is reachable.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ZoneReachability {
-    /// The zone's name.
+    /// The name of the zone.
     pub zone: String,
-    /// How many members it has.
+    /// The number of members in the zone.
     pub members: usize,
-    /// How many of them are reached.
+    /// The number of reachable members.
     pub reached: usize,
-    /// Since when it is not fully reached; none while it is.
+    /// When it stopped being fully reachable; none while it is.
     pub since_ms: Option<f64>,
 }
 
-/// What has happened, in order.
+/// A membership event.
 #[derive(Clone, Debug, PartialEq)]
 pub enum MembershipEvent {
-    /// A member is alive: a new one, a later incarnation, or one that had been declared failed.
+    /// A member is alive: it is new, has a later incarnation, or recovered after it was declared failed.
     Up(NodeId),
     /// A member was declared failed.
     Failed(NodeId),
     /// A member left.
     Left(NodeId),
-    /// What the endpoint list of the proxy at this address says of an endpoint.
+    /// The proxy at this address gossiped the status of an endpoint.
     EndpointUpdate(SocketAddr, EndpointGossip),
-    /// Two live members at two addresses have one name.
+    /// Two live members at different addresses have the same name.
     DuplicateName(NodeId, NodeId),
-    /// This process did not run for so many milliseconds.
+    /// This process did not run for this many milliseconds.
     Paused(f64),
-    /// This proxy goes on under this incarnation: it was declared failed, or an earlier one was in its way.
+    /// This proxy continues under a new incarnation, because it was declared failed or its incarnation was superseded.
     Reincarnated(u64),
 }
 
-/// What the endpoint list of a proxy says of an endpoint: draining, removed, restarted, or ready again.
+/// The status of an endpoint in a proxy's endpoint list: draining, removed, restarted, or ready again.
 ///
-/// It is encoded by the order of its fields and travels between proxies.
+/// Sent between proxies in a positional encoding: the order of the fields is part of the wire format.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct EndpointGossip {
-    /// The endpoint's stable hash, the same at all proxies.
+    /// The endpoint's stable hash, which is the same at all proxies.
     pub endpoint: u64,
-    /// 0 ready, 1 draining, 2 removed: the higher the stricter.
+    /// 0 ready, 1 draining, 2 removed; a higher value is stricter.
     pub strictness: u8,
-    /// Clock time of its last start in milliseconds; 0 for long ago.
+    /// Wall-clock time of its last start in milliseconds; 0 if it started long ago.
     pub started_at_ms: f64,
-    /// The version of the endpoint list that said so.
+    /// The version of the endpoint list that this status is from.
     pub list_version: u64,
 }
