--- a/membership/src/assumptions.rs
+++ b/membership/src/assumptions.rs
@@ -1,40 +1,40 @@
-//! What a proxy may assume of the others' requests at a moment, for load balancing: how many proxies send, and which
-//! part of a configured proxy's slow-start budget is its own.
+//! What load balancing assumes about the other proxies: how many share the endpoints, and how much of its slow-start
+//! budget this proxy may use.
 
 use crate::cluster_size::{ClusterObservation, ClusterSizeEstimate};
 use crate::load_estimate::LoadBasedEstimate;
 use crate::Membership;
 
-/// How often to look at what time alone changes: well within a probe interval.
+/// How often time-dependent assumptions are refreshed, shorter than a probe interval.
 const REFRESH_INTERVAL_MS: f64 = 100.0;
-/// A relative change of the cluster size under this is none: limits do not show it, and each new solution costs work.
+/// Smaller relative changes of the cluster size are ignored: limits hardly change, and recomputing them is costly.
 const MIN_RELATIVE_CHANGE: f64 = 0.005;
 
-/// What is assumed at a moment.
+/// What load balancing assumes at a moment.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Assumed {
     /// The number of proxies that share the endpoints.
     pub cluster_size: f64,
-    /// The part of a configured proxy's slow-start budget that this proxy may use, at most 1.
+    /// The fraction of an evenly divided slow-start budget that this proxy may use, at most 1.
     pub slow_start_share: f64,
 }
 
-/// Works out what to assume from membership and the load that endpoints report.
+/// Derives [`Assumed`] from membership and the endpoints' load reports.
 pub struct ClusterAssumptions {
-    size: ClusterSizeEstimate,
-    load_based: LoadBasedEstimate,
-    /// Own attempts in flight, by endpoint.
+    size_estimate: ClusterSizeEstimate,
+    load_estimate: LoadBasedEstimate,
+    /// This proxy's attempts in flight, by endpoint index.
     in_flight: Vec<u32>,
     next_refresh_ms: f64,
     current: Assumed,
 }
 
 impl ClusterAssumptions {
-    /// Begins with the number of proxies by the settings, and no slow-start share before the others are known.
+    /// Starts with the configured number of proxies, and without a slow-start share.
     pub fn new(configured_size: f64, now_ms: f64) -> Self {
         ClusterAssumptions {
-            size: ClusterSizeEstimate::new(configured_size, now_ms),
-            load_based: LoadBasedEstimate::default(),
+            size_estimate: ClusterSizeEstimate::new(configured_size, now_ms),
+            load_estimate: LoadBasedEstimate::default(),
             in_flight: Vec::new(),
             next_refresh_ms: now_ms,
             current: Assumed {
@@ -44,37 +44,37 @@
         }
     }
 
-    /// New settings have another number of proxies.
+    /// Changes the configured number of proxies.
     pub fn set_configured_size(&mut self, configured_size: f64) {
-        self.size.set_configured(configured_size);
+        self.size_estimate.set_configured(configured_size);
     }
 
-    /// What was last assumed.
+    /// The current assumptions.
     pub fn current(&self) -> Assumed {
         self.current
     }
 
-    /// The number of proxies by the settings.
+    /// The configured number of proxies.
     pub fn configured_size(&self) -> f64 {
-        self.size.configured()
+        self.size_estimate.configured()
     }
 
-    /// The number of proxies by the load that endpoints report, if they do.
+    /// The number of proxies estimated from load reports; none without enough reports.
     pub fn load_based_size(&self, now_ms: f64) -> Option<f64> {
-        self.load_based.estimate(now_ms)
+        self.load_estimate.estimate(now_ms)
     }
 
-    /// When to call [`ClusterAssumptions::update`] next, whatever happens.
+    /// When to call [`ClusterAssumptions::update`] next at the latest.
     pub fn next_refresh_ms(&self) -> f64 {
         self.next_refresh_ms
     }
 
-    /// An attempt starts at an endpoint.
+    /// Counts an attempt that starts at an endpoint.
     pub fn attempt_started(&mut self, endpoint: usize) {
         *self.in_flight_at(endpoint) += 1;
     }
 
-    /// An attempt has ended at an endpoint.
+    /// Counts an attempt that has ended at an endpoint.
     pub fn attempt_ended(&mut self, endpoint: usize) {
         let in_flight = self.in_flight_at(endpoint);
         *in_flight = in_flight.saturating_sub(1);
@@ -87,31 +87,31 @@
         &mut self.in_flight[endpoint]
     }
 
-    /// An endpoint has reported with an answer how many requests it has in flight.
+    /// Records the requests in flight that an endpoint reported with a response.
     pub fn load_reported(&mut self, now_ms: f64, endpoint: usize, reported: f64) {
         let own = self.in_flight.get(endpoint).copied().unwrap_or(0);
-        self.load_based.record(now_ms, reported, f64::from(own));
+        self.load_estimate.record(now_ms, reported, f64::from(own));
     }
 
-    /// Takes in what membership knows now. Returns whether load balancing is to be told. The caller does so before it
-    /// sends what membership wants sent: gossip that went out before a share is lowered would let another proxy take
-    /// what this one still uses.
+    /// Updates the assumptions from membership. Returns whether they changed. The caller must apply a change before it
+    /// sends membership's datagrams: gossip sent before a lowered share takes effect would let another proxy claim
+    /// budget that this one still uses.
     pub fn update(&mut self, now_ms: f64, membership: &mut Membership) -> bool {
         let counts = membership.counts();
         let live = counts.live + 1;
         if now_ms >= self.next_refresh_ms {
             self.next_refresh_ms = now_ms + REFRESH_INTERVAL_MS;
             if counts.failed == 0 {
-                self.load_based.calibrate(live);
+                self.load_estimate.calibrate(live);
             }
         }
         let observation = ClusterObservation {
             live,
             failed: counts.failed,
-            load_based: self.load_based.estimate(now_ms),
+            load_based: self.load_estimate.estimate(now_ms),
         };
-        let cluster_size = self.size.update(now_ms, observation);
-        let configured_size = self.size.configured();
+        let cluster_size = self.size_estimate.update(now_ms, observation);
+        let configured_size = self.size_estimate.configured();
         let share = membership.slow_start_share(configured_size);
         let slow_start_share = (share * configured_size).min(1.0);
         let relative_change = (cluster_size / self.current.cluster_size - 1.0).abs();
--- a/membership/src/load_estimate.rs
+++ b/membership/src/load_estimate.rs
@@ -1,35 +1,36 @@
-//! How many proxies the load reports of endpoints tell of.
+//! Estimate of the number of proxies from the endpoints' load reports.
 
-use crate::cluster_size::CONFIRM_AFTER_MS;
+use crate::cluster_size::CONFIRMATION_PERIOD_MS;
 
-/// Time constant over which reports are smoothed: shorter than what confirms a smaller cluster.
+/// Time constant of the exponential smoothing, shorter than the confirmation period of a smaller cluster.
 const SMOOTHING_MS: f64 = 5000.0;
-const _: () = assert!(SMOOTHING_MS < CONFIRM_AFTER_MS);
-/// Fewer reports than these say nothing.
+const _: () = assert!(SMOOTHING_MS < CONFIRMATION_PERIOD_MS);
+/// The minimum number of reports for an estimate.
 const MIN_REPORTS: f64 = 40.0;
-/// The least mean of own requests in flight at a report: with next to none, a few reports would say anything.
-const MIN_OWN_PER_REPORT: f64 = 0.1;
-/// The weight of one calibration in the moving average.
+/// The minimum mean of own requests in flight per report; the estimate divides by it, and below this it is noise.
+const MIN_MEAN_OWN_IN_FLIGHT: f64 = 0.1;
+/// The weight of one calibration in its moving average.
 const CALIBRATION_WEIGHT: f64 = 0.05;
 
-/// Compares what endpoints report as in flight with what this proxy has in flight there: how many proxies like this
-/// one there would be.
+/// Estimates the number of proxies as the ratio of the requests that endpoints report in flight to the requests that
+/// this proxy has in flight there, assuming that all proxies send similar load.
 ///
-/// Both are of the moment of an answer: endpoints are answered from, as sent to, while they hold less than in the
-/// mean. (Own requests in flight sampled by the clock beside that made twelve proxies look like four.) Few proxies,
-/// which avoid endpoints where they have requests in flight, look like up to twice as many. Sums decay over seconds.
+/// Both are sampled when a response arrives: responses are more frequent from lightly loaded endpoints, and sampling
+/// only one of the two by the clock would bias the ratio. With few proxies, which avoid endpoints where they already
+/// have requests in flight, the estimate is up to twice too high.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct LoadBasedEstimate {
     reported_sum: f64,
     own_sum: f64,
     reports: f64,
-    /// Whether endpoints count a request that they have just answered: between 0 and 1.
-    counts_answered: f64,
+    /// By how much reports include the request just answered, from 0 to 1.
+    answered_request_bias: f64,
     updated_at_ms: f64,
 }
 
 impl LoadBasedEstimate {
-    /// An endpoint reports so many requests in flight, with an answer, while this proxy has so many others there.
+    /// Records the requests in flight that an endpoint reported with a response, and this proxy's own at that endpoint,
+    /// without the request that was answered.
     pub fn record(&mut self, now_ms: f64, reported: f64, own: f64) {
         let kept = decay(now_ms - self.updated_at_ms);
         self.reported_sum = self.reported_sum * kept + reported;
@@ -38,25 +39,26 @@
         self.updated_at_ms = now_ms;
     }
 
-    /// While the whole cluster of so many is known to live: learns whether reports count the answered request.
+    /// Learns whether reports include the answered request. Called only while all members of the cluster are live.
     pub fn calibrate(&mut self, live: usize) {
         if self.reports >= MIN_REPORTS {
             let excess = (self.reported_sum - live as f64 * self.own_sum) / self.reports;
-            self.counts_answered +=
-                CALIBRATION_WEIGHT * (excess.clamp(0.0, 1.0) - self.counts_answered);
+            self.answered_request_bias +=
+                CALIBRATION_WEIGHT * (excess.clamp(0.0, 1.0) - self.answered_request_bias);
         }
     }
 
-    /// How many proxies like this one endpoints tell of; none where they tell too little.
+    /// The estimated number of proxies; none if there are too few reports or own requests.
     pub fn estimate(&self, now_ms: f64) -> Option<f64> {
         let reports = self.reports * decay(now_ms - self.updated_at_ms);
-        let reported = (self.reported_sum - self.counts_answered * self.reports).max(0.0);
-        let enough = reports >= MIN_REPORTS && self.own_sum >= MIN_OWN_PER_REPORT * self.reports;
+        let reported = (self.reported_sum - self.answered_request_bias * self.reports).max(0.0);
+        let enough =
+            reports >= MIN_REPORTS && self.own_sum >= MIN_MEAN_OWN_IN_FLIGHT * self.reports;
         enough.then(|| reported / self.own_sum)
     }
 }
 
-/// What remains of a sum after so long.
+/// The factor by which a sum decays over a time.
 fn decay(elapsed_ms: f64) -> f64 {
     (-elapsed_ms.max(0.0) / SMOOTHING_MS).exp()
 }
--- a/membership/src/member_set.rs
+++ b/membership/src/member_set.rs
@@ -1,23 +1,24 @@
-//! The set of members that this proxy counts, and its slow-start share that follows from it.
+//! The member set that this proxy counts, its digest, and the resulting slow-start share.
 
 use crate::slow_start_shares::{digest_of, MemberSetDigest, ShareInputs, SlowStartShares};
 use crate::types::{IncarnationKey, Member, MemberState};
 
-/// Marks the incarnation of a failed member in a digest: no member's own incarnation has its highest bit set.
-const FAILED_MARK: u64 = 1 << 63;
+/// Marks a failed member's incarnation in a digest. Incarnations are Unix milliseconds and never have this bit set.
+const FAILED_BIT: u64 = 1 << 63;
 
-/// The counted set, its digest, and the share.
+/// The counted members, their digest, and the slow-start share.
 pub(crate) struct MemberSet {
     shares: SlowStartShares,
-    /// The number of proxies by the settings, when the share was last asked for.
+    /// The configured number of proxies at the last request for the share.
     configured_size: f64,
-    /// The other members that live and those that failed, by address hash.
+    /// Address hashes of the other live members.
     live: Vec<u64>,
+    /// Address hashes of the failed members.
     failed: Vec<u64>,
     digest: MemberSetDigest,
     last_gossiped: MemberSetDigest,
-    /// Members have changed since they were counted.
-    outdated: bool,
+    /// Whether members have changed since the last count.
+    is_stale: bool,
 }
 
 impl MemberSet {
@@ -29,40 +30,40 @@
             failed: Vec::new(),
             digest: MemberSetDigest::default(),
             last_gossiped: MemberSetDigest::default(),
-            outdated: true,
+            is_stale: true,
         }
     }
 
-    /// A new incarnation has agreed with nobody yet.
+    /// Discards the share and all received digests, as a new incarnation has not agreed with any member yet.
     pub(crate) fn reset_shares(&mut self) {
         self.shares = SlowStartShares::default();
-        self.outdated = true;
+        self.is_stale = true;
     }
 
-    /// Members have changed.
+    /// Schedules a recount after a change of the members.
     pub(crate) fn invalidate(&mut self) {
-        self.outdated = true;
+        self.is_stale = true;
     }
 
-    /// Another member has said which set it counts.
+    /// Records the digest gossiped by another member.
     pub(crate) fn digest_received(&mut self, address_hash: u64, digest: MemberSetDigest) {
         self.shares.digest_received(address_hash, digest);
     }
 
-    /// A member has left.
+    /// Drops the digest of a member that left.
     pub(crate) fn member_left(&mut self, address_hash: u64) {
         self.shares.member_left(address_hash);
-        self.outdated = true;
+        self.is_stale = true;
     }
 
-    /// How many of the others live, when they were last counted.
+    /// The number of other live members at the last count.
     pub(crate) fn live_others(&self) -> usize {
         self.live.len()
     }
 
-    /// Counts the members, where they have changed.
+    /// Recounts the members if they have changed.
     fn recount<'a>(&mut self, local: IncarnationKey, members: impl Iterator<Item = &'a Member>) {
-        if !std::mem::take(&mut self.outdated) {
+        if !std::mem::take(&mut self.is_stale) {
             return;
         }
         let (failed, live): (Vec<_>, Vec<_>) = members
@@ -73,7 +74,7 @@
         let failed_keys = failed.iter().map(|member| member.incarnation_key());
         let failed_keys: Vec<IncarnationKey> = failed_keys.collect();
         let marked_keys = failed_keys.iter().map(|key| IncarnationKey {
-            incarnation: key.incarnation | FAILED_MARK,
+            incarnation: key.incarnation | FAILED_BIT,
             ..*key
         });
         self.digest.members = digest_of(live_keys.iter().chain(&failed_keys).copied());
@@ -83,14 +84,14 @@
         self.failed = failed_keys.iter().map(|key| key.address_hash).collect();
     }
 
-    /// This proxy's share, where the settings have so many proxies, or as many as when it was last asked for.
-    /// `unanswered`: all seeds were asked in vain.
+    /// This proxy's share. Without a configured size, uses that of the last call. `seeds_unresponsive`: no seed has
+    /// answered.
     pub(crate) fn share<'a>(
         &mut self,
         configured_size: Option<f64>,
         local: IncarnationKey,
         members: impl Iterator<Item = &'a Member>,
-        unanswered: bool,
+        seeds_unresponsive: bool,
     ) -> f64 {
         self.configured_size = configured_size.unwrap_or(self.configured_size);
         self.recount(local, members);
@@ -99,14 +100,14 @@
             digest: self.digest,
             live: &self.live,
             failed: &self.failed,
-            isolated: self.live.is_empty() && self.failed.is_empty() && unanswered,
+            isolated: self.live.is_empty() && self.failed.is_empty() && seeds_unresponsive,
         });
         self.digest.agreed_size = self.shares.agreed_size();
         share
     }
 
-    /// The digest to gossip, once it has changed. The caller lowers the share first: once others hear the digest,
-    /// they take what this proxy would still use.
+    /// Takes the digest to gossip if it has changed. The caller must update the share first: peers that receive the
+    /// digest may claim the budget that this proxy gives up.
     pub(crate) fn take_digest_to_gossip(&mut self) -> Option<MemberSetDigest> {
         if self.digest == self.last_gossiped {
             return None;
--- a/membership/src/membership.rs
+++ b/membership/src/membership.rs
@@ -260,9 +260,13 @@
             address_hash: self.local_address_hash,
             incarnation: self.local.incarnation,
         };
-        let unanswered = self.seeds.are_silent();
-        self.member_set
-            .share(configured_size, local, self.members.iter(), unanswered)
+        let seeds_unresponsive = self.seeds.are_silent();
+        self.member_set.share(
+            configured_size,
+            local,
+            self.members.iter(),
+            seeds_unresponsive,
+        )
     }
 
     /// This proxy's share of an endpoint's slow-start budget now, where the settings have so many proxies.
--- a/membership/src/slow_start_shares.rs
+++ b/membership/src/slow_start_shares.rs
@@ -1,26 +1,26 @@
-//! Which share of an endpoint's slow-start budget is this proxy's, such that all shares add up to one at most.
+//! This proxy's share of an endpoint's slow-start budget, such that the shares of all proxies sum to at most one.
 
 use crate::types::IncarnationKey;
 use siphasher::sip::SipHasher13;
 use std::collections::BTreeMap;
 use std::hash::{Hash, Hasher};
 
-/// Which set of members a proxy counts. Equal numbers are equal sets of equal incarnations.
+/// Digest of the member set that a proxy counts. Equal digests stand for equal sets of member incarnations.
 ///
-/// It is encoded by the order of its fields and travels between proxies.
+/// Sent between proxies in a positional encoding: the order of the fields is part of the wire format.
 #[derive(Clone, Copy, Debug, Default, PartialEq, serde::Serialize, serde::Deserialize)]
 pub struct MemberSetDigest {
-    /// All that have not left, itself among them.
+    /// All members that have not left, including the proxy itself.
     pub members: u64,
-    /// The same with those marked that it holds for failed.
+    /// The same set, with the members that the proxy considers failed marked as such.
     pub members_with_failed_marked: u64,
-    /// How many they were when all of such a set last counted it; 0 for never.
+    /// The size of the last set that all of its members agreed on; 0 if there was none.
     pub agreed_size: usize,
 }
 
-/// The digest of a set of members, the same at all proxies that count the same incarnations.
+/// Digest of a set of members, independent of their order and equal at all proxies.
 pub(crate) fn digest_of(members: impl IntoIterator<Item = IncarnationKey>) -> u64 {
-    // Any keys do, as what is compared comes in authenticated datagrams. They are the same at every proxy.
+    // Fixed keys, so that digests are comparable. Datagrams are authenticated, so the keys need not be secret.
     let hash_of = |member: IncarnationKey| {
         let mut hasher = SipHasher13::new_with_keys(1, 2);
         member.hash(&mut hasher);
@@ -29,92 +29,92 @@
     members.into_iter().map(hash_of).fold(0, u64::wrapping_add)
 }
 
-/// What a share is worked out from.
+/// Inputs to [`SlowStartShares::share`].
 #[derive(Clone, Copy, Debug)]
 pub struct ShareInputs<'a> {
-    /// The number of proxies by the settings.
+    /// The configured number of proxies.
     pub configured_size: f64,
-    /// Which set this proxy counts.
+    /// Digest of the member set that this proxy counts.
     pub digest: MemberSetDigest,
-    /// The other members that live, by address hash.
+    /// Address hashes of the other live members.
     pub live: &'a [u64],
-    /// The members that failed, by address hash.
+    /// Address hashes of the failed members.
     pub failed: &'a [u64],
-    /// It has asked all seeds and nobody answered.
+    /// Whether this proxy knows no other member and no seed has answered.
     pub isolated: bool,
 }
 
 /// This proxy's share of what all proxies together may send to an endpoint in slow start. The shares of all proxies
-/// that know of each other add up to one at most at every moment, also while their views differ:
+/// that know each other sum to at most one at every moment, even while their views of the cluster differ:
 ///
-/// - A share is lowered at once, and a proxy gossips which set it counts only once its share fits that set.
-/// - It rises only when all of the set that this proxy counts, failed ones too, have said that they count exactly
-///   it. So whoever is cut off holds at most what it held at the last such moment, and that is known.
-/// - A new incarnation, which would wait for good where a member is gone for good, also takes a share once all that
-///   live have said that they count the same set with the same failed: what those failed leave, evenly.
+/// - A share is lowered immediately. A proxy gossips the digest of a member set only after its share fits that set.
+/// - A share is raised only after all members of the counted set, including failed ones, have gossiped the digest of
+///   that set. A member that is cut off thus holds at most its share of the last agreed set, whose size is known.
+/// - A new incarnation would never get a share if a member is gone for good. It therefore also takes one once all live
+///   members have gossiped the same set with the same members failed: an even part of what the failed ones leave.
 ///
-/// One that reaches nobody at all takes one share of the configured number, as a proxy does that shares nothing.
+/// An isolated proxy takes an even share by the configured number of proxies.
 #[derive(Clone, Debug, Default)]
 pub struct SlowStartShares {
-    held: f64,
+    held_share: f64,
     agreed_size: usize,
     digests: BTreeMap<u64, MemberSetDigest>,
 }
 
 impl SlowStartShares {
-    /// Another member has said which set it counts.
+    /// Records the digest gossiped by another member.
     pub fn digest_received(&mut self, address_hash: u64, digest: MemberSetDigest) {
         self.digests.insert(address_hash, digest);
     }
 
-    /// A member has left: what it said counts no more.
+    /// Drops the digest of a member that left.
     pub fn member_left(&mut self, address_hash: u64) {
         self.digests.remove(&address_hash);
     }
 
-    /// How many members there were when all of this proxy's set last counted it.
+    /// The size of the last member set that all of its members agreed on; 0 if there was none.
     pub fn agreed_size(&self) -> usize {
         self.agreed_size
     }
 
-    /// The share of a proxy, where others live and failed as the inputs have it.
+    /// Updates and returns this proxy's share.
     pub fn share(&mut self, inputs: &ShareInputs) -> f64 {
         let configured_size = inputs.configured_size.max(1.0);
         let members = (inputs.live.len() + inputs.failed.len() + 1) as f64;
-        let even = 1.0 / configured_size.max(members);
+        let even_share = 1.0 / configured_size.max(members);
         let mut counted = inputs.live.iter().chain(inputs.failed);
         let all_agree = counted.all(|member| self.counts_same_members(*member, inputs.digest));
         if all_agree && members > 1.0 {
-            self.held = even;
+            self.held_share = even_share;
             self.agreed_size = members as usize;
-            return self.held;
+            return self.held_share;
         }
         if inputs.isolated {
-            // Not held: once it meets others it begins as a new incarnation.
+            // Not stored: once this proxy finds other members, it starts without a share like a new incarnation.
             return 1.0 / configured_size;
         }
-        // Shares of proxies that do not know of each other would add up to more than one, so only a new incarnation
-        // takes a share here.
+        // Without full agreement only a new incarnation may raise its share; otherwise proxies that do not know each
+        // other could exceed the budget together.
         let target = if inputs.failed.is_empty() {
-            even
+            even_share
         } else {
-            even.min(self.left_by_failed(inputs, configured_size))
+            even_share.min(self.share_left_by_failed(inputs, configured_size))
         };
-        let is_new = self.held <= 0.0 && !inputs.live.is_empty();
+        let has_no_share = self.held_share <= 0.0 && !inputs.live.is_empty();
         let mut live = inputs.live.iter();
-        let may_begin =
-            is_new && live.all(|member| self.counts_same_failed(*member, inputs.digest));
-        self.held = if may_begin {
+        let may_take_share =
+            has_no_share && live.all(|member| self.counts_same_failed(*member, inputs.digest));
+        self.held_share = if may_take_share {
             target
         } else {
-            self.held.min(target)
+            self.held_share.min(target)
         };
-        self.held
+        self.held_share
     }
 
-    /// What the failed members, each of which holds a share of the smallest agreed set at most, leave to each that
-    /// lives.
-    fn left_by_failed(&self, inputs: &ShareInputs, configured_size: f64) -> f64 {
+    /// The even part of the budget that failed members leave to each live one. A failed member holds at most a share
+    /// of the smallest agreed set.
+    fn share_left_by_failed(&self, inputs: &ShareInputs, configured_size: f64) -> f64 {
         let agreed_sizes = inputs
             .live
             .iter()
