--- a/membership/src/incarnation_notices.rs
+++ b/membership/src/incarnation_notices.rs
@@ -1,19 +1,19 @@
-//! Notices to a proxy that sends under an incarnation which the others hold for superseded.
+//! Notices to a proxy whose incarnation is superseded.
 //!
-//! A proxy whose clock was set back would start under an earlier incarnation, and nobody would believe it for ever.
-//! It is told which one was heard last, and goes on under a later one.
+//! A proxy that restarts after its clock was set back has an earlier incarnation than before, and its peers reject its
+//! datagrams. A notice tells it the latest incarnation they know, so that it can continue under a later one.
 
 use crate::gossip::MAX_TOPICS;
-use crate::seeds::ASK_INTERVAL_MS;
+use crate::seeds::CONTACT_INTERVAL_MS;
 use std::collections::BTreeMap;
 
-/// How often one sender is told at most: replayed datagrams cause notices too.
-const NOTICE_INTERVAL_MS: f64 = ASK_INTERVAL_MS;
-/// Senders remembered.
+/// The minimum time between notices to the same sender, as replayed datagrams also trigger notices.
+const NOTICE_INTERVAL_MS: f64 = CONTACT_INTERVAL_MS;
+/// Bounds the memory of the rate limiter.
 const MAX_SENDERS: usize = MAX_TOPICS;
 const FIELD_LENGTH: usize = size_of::<u64>();
 
-/// The latest incarnation that was heard of a sender.
+/// The latest known incarnation of a sender.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct IncarnationNotice {
     pub(crate) sender_id: u64,
@@ -21,7 +21,7 @@
 }
 
 impl IncarnationNotice {
-    /// The body of its datagram.
+    /// Encodes the datagram body.
     pub(crate) fn encode(self) -> Vec<u8> {
         [self.sender_id, self.incarnation]
             .iter()
@@ -29,7 +29,7 @@
             .collect()
     }
 
-    /// The notice in a datagram's body, if it is one.
+    /// Decodes a datagram body; none if it is malformed.
     pub(crate) fn decode(body: &[u8]) -> Option<Self> {
         if body.len() != 2 * FIELD_LENGTH {
             return None;
@@ -42,18 +42,18 @@
     }
 }
 
-/// When which sender was told last.
+/// Limits the rate of notices per sender.
 #[derive(Default)]
 pub(crate) struct NoticeLimiter {
     last_sent_ms: BTreeMap<u64, f64>,
 }
 
 impl NoticeLimiter {
-    /// Whether a sender may be told now; if so, it counts as told.
+    /// Whether a notice may be sent now. If so, it is recorded as sent.
     pub(crate) fn admit(&mut self, now_ms: f64, sender_id: u64) -> bool {
         let last = self.last_sent_ms.get(&sender_id);
-        let waited = last.is_none_or(|last_ms| now_ms - last_ms > NOTICE_INTERVAL_MS);
-        if !waited || self.last_sent_ms.len() >= MAX_SENDERS {
+        let interval_elapsed = last.is_none_or(|last_ms| now_ms - last_ms > NOTICE_INTERVAL_MS);
+        if !interval_elapsed || self.last_sent_ms.len() >= MAX_SENDERS {
             return false;
         }
         self.last_sent_ms.insert(sender_id, now_ms);
--- a/membership/src/member_table.rs
+++ b/membership/src/member_table.rs
@@ -1,15 +1,15 @@
-//! The other members by address, as they are known.
+//! The other known members by address.
 
 use crate::types::{Member, MemberCounts, MemberState, NodeId};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// How long a failed member is counted unless told otherwise: a partition of a day is mended by somebody.
+/// How long a failed member is counted by default; partitions are expected to be repaired within this time.
 const FORGET_FAILED_AFTER_MS: f64 = 86_400_000.0;
-/// How long a member that left is remembered: late gossip of it is minutes old at most.
+/// How long a member that left is remembered, longer than gossip about it can be delayed.
 const FORGET_LEFT_AFTER_MS: f64 = 600_000.0;
 
-/// The table of the other members.
+/// The other known members.
 pub(crate) struct MemberTable {
     members: BTreeMap<SocketAddr, Member>,
     forget_failed_after_ms: f64,
@@ -27,7 +27,7 @@
         self.forget_failed_after_ms = milliseconds;
     }
 
-    /// All members, in the order of their addresses.
+    /// All members in order of address.
     pub(crate) fn iter(&self) -> impl Iterator<Item = &Member> {
         self.members.values()
     }
@@ -52,14 +52,13 @@
             .filter(|member| member.state == MemberState::Failed)
     }
 
-    /// The member that signs datagrams by this number.
     pub(crate) fn find_by_sender_id(&self, sender_id: u64) -> Option<&Member> {
         self.iter()
             .find(|member| member.id.sender_id() == sender_id)
     }
 
-    /// A live member at another address that has the same name.
-    pub(crate) fn namesake(&self, id: &NodeId) -> Option<&Member> {
+    /// Finds a live member with the same name at another address.
+    pub(crate) fn find_live_with_same_name(&self, id: &NodeId) -> Option<&Member> {
         self.iter().find(|member| {
             member.id.name == id.name
                 && member.id.address != id.address
@@ -67,7 +66,7 @@
         })
     }
 
-    /// Records a member's state. Returns false for stale news: of an incarnation that has a successor, or that left.
+    /// Records a member's state. Returns false if it is stale: the incarnation was superseded or has left.
     pub(crate) fn record(&mut self, now_ms: f64, id: &NodeId, state: MemberState) -> bool {
         let stale = self.get(id.address).is_some_and(|known| {
             known.id.incarnation > id.incarnation
@@ -79,8 +78,8 @@
         !stale
     }
 
-    /// Records a failed member that others tell of, unless this incarnation is known: each member sees the state of
-    /// those that it knows for itself. Returns whether it was recorded.
+    /// Records a failed member reported by gossip. Ignores known incarnations, whose state SWIM determines. Returns
+    /// whether the member was recorded.
     pub(crate) fn record_unknown_failed(&mut self, now_ms: f64, id: NodeId) -> bool {
         let unknown = self
             .get(id.address)
@@ -91,7 +90,7 @@
         unknown
     }
 
-    /// Records that a member left, and returns it, unless it is unknown or has a later incarnation.
+    /// Records that a member left and returns it; none if it is unknown or has a later incarnation.
     pub(crate) fn record_left(
         &mut self,
         now_ms: f64,
@@ -107,7 +106,7 @@
         Some(member)
     }
 
-    /// Whether SWIM holds a state of a member that this table does not have.
+    /// Whether this table lacks SWIM's state of a member: unknown here, a later incarnation, or a different state.
     pub(crate) fn differs(&self, id: &NodeId, state: MemberState) -> bool {
         self.get(id.address).is_none_or(|known| {
             known.id.incarnation < id.incarnation
@@ -115,7 +114,7 @@
         })
     }
 
-    /// Forgets members that failed or left long ago. Returns whether there were any.
+    /// Removes members that failed or left long ago. Returns whether any were removed.
     pub(crate) fn forget_old(&mut self, now_ms: f64) -> bool {
         let before = self.members.len();
         let forget_failed_after_ms = self.forget_failed_after_ms;
--- a/membership/src/membership.rs
+++ b/membership/src/membership.rs
@@ -121,8 +121,8 @@
 
     /// When [`Membership::handle_timers`] is to be called next.
     pub fn next_timer_ms(&self) -> f64 {
-        let first_timer_ms = self.timers.first_at_ms().unwrap_or(f64::INFINITY);
-        first_timer_ms.min(self.seeds.next_ask_at_ms())
+        let next_timer_ms = self.timers.next_at_ms().unwrap_or(f64::INFINITY);
+        next_timer_ms.min(self.seeds.next_contact_at_ms())
     }
 
     /// Takes the datagrams to send, each with its receiver.
@@ -153,7 +153,7 @@
                 Ok(())
             }
             Err(rejected) => {
-                self.notify_rejected(now_ms, from, rejected);
+                self.handle_rejected(now_ms, from, rejected);
                 Err(rejected)
             }
         }
@@ -179,8 +179,8 @@
         if let Some(pause_ms) = self.timers.postpone_by_pause(now_ms) {
             self.events.push(MembershipEvent::Paused(pause_ms));
         }
-        if now_ms >= self.seeds.next_ask_at_ms() {
-            self.ask_seeds(now_ms);
+        if now_ms >= self.seeds.next_contact_at_ms() {
+            self.contact_seeds(now_ms);
         }
         while let Some(timer) = self.timers.pop_due(now_ms) {
             let output = self.swim.fire(timer);
@@ -189,13 +189,13 @@
         self.refresh(now_ms);
     }
 
-    fn ask_seeds(&mut self, now_ms: f64) {
+    fn contact_seeds(&mut self, now_ms: f64) {
         let members = &self.members;
         let has_members = members.iter().any(Member::is_live);
-        let asked = self
+        let addresses = self
             .seeds
-            .next_to_ask(now_ms, has_members, |seed| members.is_live(seed));
-        for address in asked {
+            .select_to_contact(now_ms, has_members, |seed| members.is_live(seed));
+        for address in addresses {
             // A member answers whichever identity of its address is asked.
             let unknown = NodeId {
                 address,
@@ -260,7 +260,7 @@
             address_hash: self.local_address_hash,
             incarnation: self.local.incarnation,
         };
-        let seeds_unresponsive = self.seeds.are_silent();
+        let seeds_unresponsive = self.seeds.are_unresponsive();
         self.member_set.share(
             configured_size,
             local,
@@ -308,8 +308,9 @@
 
     /// How much of the cluster that was last complete is reached.
     pub fn reachability(&self) -> Reachability {
-        let silent_since_ms = self.seeds.are_silent().then_some(self.started_at_ms);
-        self.reachability.cluster(&self.members, silent_since_ms)
+        let unresponsive_since_ms = self.seeds.are_unresponsive().then_some(self.started_at_ms);
+        self.reachability
+            .cluster(&self.members, unresponsive_since_ms)
     }
 
     /// How much of each zone is reached, this proxy counted in its own; zones in the order of their names.
--- a/membership/src/membership/changes.rs
+++ b/membership/src/membership/changes.rs
@@ -41,7 +41,10 @@
         let Some(state) = state.or_else(|| self.swim.state_of(&id)) else {
             return;
         };
-        let namesake = self.members.namesake(&id).map(|member| member.id.clone());
+        let duplicate = self
+            .members
+            .find_live_with_same_name(&id)
+            .map(|member| member.id.clone());
         if !self.members.record(now_ms, &id, state) {
             return;
         }
@@ -51,8 +54,8 @@
             return;
         }
         self.gossip_failed_members(now_ms);
-        self.events.push(match namesake {
-            Some(namesake) => MembershipEvent::DuplicateName(namesake, id),
+        self.events.push(match duplicate {
+            Some(duplicate) => MembershipEvent::DuplicateName(duplicate, id),
             None => MembershipEvent::Up(id),
         });
     }
@@ -72,10 +75,10 @@
 
     fn receive_gossip(&mut self, now_ms: f64, message: GossipMessage) {
         let origin = message.origin;
-        let is_mine = origin == self.local.address;
+        let is_from_self = origin == self.local.address;
         match message.payload {
             GossipPayload::Left => self.receive_left(now_ms, origin, message.incarnation),
-            GossipPayload::MemberSet(digest) if !is_mine => {
+            GossipPayload::MemberSet(digest) if !is_from_self => {
                 self.member_set
                     .digest_received(address_hash(origin), digest);
             }
@@ -84,7 +87,7 @@
                     self.member_set.invalidate();
                 }
             }
-            GossipPayload::Endpoint(gossip) if !is_mine => {
+            GossipPayload::Endpoint(gossip) if !is_from_self => {
                 self.events
                     .push(MembershipEvent::EndpointUpdate(origin, gossip));
             }
--- a/membership/src/membership/incarnations.rs
+++ b/membership/src/membership/incarnations.rs
@@ -9,7 +9,7 @@
 
 impl Membership {
     /// Tells the sender of a rejected datagram if its incarnation is superseded.
-    pub(super) fn notify_rejected(
+    pub(super) fn handle_rejected(
         &mut self,
         now_ms: f64,
         from: SocketAddr,
@@ -65,8 +65,8 @@
     }
 
     pub(super) fn receive_notice(&mut self, now_ms: f64, notice: IncarnationNotice) {
-        let is_mine = notice.sender_id == self.local.sender_id();
-        if !is_mine || notice.incarnation < self.local.incarnation {
+        let is_for_self = notice.sender_id == self.local.sender_id();
+        if !is_for_self || notice.incarnation < self.local.incarnation {
             return;
         }
         let incarnation = notice.incarnation + 1;
--- a/membership/src/reachability.rs
+++ b/membership/src/reachability.rs
@@ -1,10 +1,10 @@
-//! How much of the cluster, and of each zone, is reached, and since when.
+//! Reachability of the cluster and of each zone.
 
 use crate::member_table::MemberTable;
 use crate::types::{Member, MemberState, Reachability, ZoneReachability};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Since when members are failed, of the cluster and of each zone.
+/// Since when the cluster and each zone have failed members.
 #[derive(Default)]
 pub(crate) struct ReachabilityTracker {
     partial_since_ms: Option<f64>,
@@ -12,7 +12,7 @@
 }
 
 impl ReachabilityTracker {
-    /// Takes in the members' states.
+    /// Updates the start times from the members' states.
     pub(crate) fn update(&mut self, now_ms: f64, members: &MemberTable) {
         let failed_zones: BTreeSet<&str> = members
             .failed()
@@ -32,15 +32,15 @@
         }
     }
 
-    /// How much of the cluster is reached. `silent_since_ms`: since when all seeds were asked in vain.
+    /// Reachability of the cluster. `seeds_unresponsive_since_ms`: since when no seed has responded.
     pub(crate) fn cluster(
         &self,
         members: &MemberTable,
-        silent_since_ms: Option<f64>,
+        seeds_unresponsive_since_ms: Option<f64>,
     ) -> Reachability {
         let counts = members.counts();
-        let knows_nobody = counts.live + counts.failed == 0;
-        if let Some(since_ms) = silent_since_ms.filter(|_| knows_nobody) {
+        let knows_no_members = counts.live + counts.failed == 0;
+        if let Some(since_ms) = seeds_unresponsive_since_ms.filter(|_| knows_no_members) {
             return Reachability::Isolated { since_ms };
         }
         let Some(since_ms) = self.partial_since_ms else {
@@ -56,20 +56,20 @@
         }
     }
 
-    /// How much of each zone is reached, the local member counted in its own; zones in the order of their names.
+    /// Reachability of each zone in order of name, with the local member counted in its own zone.
     pub(crate) fn zones(&self, local_zone: &str, members: &MemberTable) -> Vec<ZoneReachability> {
         let mut zones = BTreeMap::new();
-        self.count(&mut zones, local_zone, true);
+        self.count_member(&mut zones, local_zone, true);
         for member in members
             .iter()
             .filter(|member| member.state != MemberState::Left)
         {
-            self.count(&mut zones, &member.id.zone, Member::is_live(member));
+            self.count_member(&mut zones, &member.id.zone, Member::is_live(member));
         }
         zones.into_values().collect()
     }
 
-    fn count<'a>(
+    fn count_member<'a>(
         &self,
         zones: &mut BTreeMap<&'a str, ZoneReachability>,
         zone: &'a str,
--- a/membership/src/seeds.rs
+++ b/membership/src/seeds.rs
@@ -1,19 +1,19 @@
-//! The seeds: addresses that are asked who the members are.
+//! Seeds: configured addresses through which a proxy discovers the members.
 
 use std::net::SocketAddr;
 
-/// How often seeds are asked while no member is known.
-pub(crate) const ASK_INTERVAL_MS: f64 = 1000.0;
-/// How often a seed that is not a live member is asked else.
-const ASK_LOST_SEED_INTERVAL_MS: f64 = 5.0 * ASK_INTERVAL_MS;
-/// Attempts at all seeds without an answer after which a proxy takes itself for isolated.
+/// How often seeds are contacted while no live member is known.
+pub(crate) const CONTACT_INTERVAL_MS: f64 = 1000.0;
+/// How often one seed that is not a live member is contacted otherwise.
+const CONTACT_LOST_SEED_INTERVAL_MS: f64 = 5.0 * CONTACT_INTERVAL_MS;
+/// Unanswered contacts of all seeds before a proxy considers itself isolated.
 const MAX_UNANSWERED_ATTEMPTS: usize = 3;
 
-/// The addresses to ask, and when.
+/// The seed addresses and when to contact them next.
 pub(crate) struct Seeds {
     local: SocketAddr,
     addresses: Vec<SocketAddr>,
-    next_ask_at_ms: f64,
+    next_contact_at_ms: f64,
     unanswered_attempts: usize,
 }
 
@@ -22,14 +22,14 @@
         let mut seeds = Seeds {
             local,
             addresses: Vec::new(),
-            next_ask_at_ms: now_ms,
+            next_contact_at_ms: now_ms,
             unanswered_attempts: 0,
         };
         seeds.set_addresses(addresses);
         seeds
     }
 
-    /// Replaces the addresses; the local one is left out.
+    /// Replaces the addresses, except for the local one.
     pub(crate) fn set_addresses(&mut self, addresses: &[SocketAddr]) {
         self.addresses = addresses
             .iter()
@@ -38,19 +38,18 @@
             .collect();
     }
 
-    /// When seeds are asked next.
-    pub(crate) fn next_ask_at_ms(&self) -> f64 {
-        self.next_ask_at_ms
+    pub(crate) fn next_contact_at_ms(&self) -> f64 {
+        self.next_contact_at_ms
     }
 
-    /// Whether all seeds were asked often enough without an answer.
-    pub(crate) fn are_silent(&self) -> bool {
+    /// Whether [`MAX_UNANSWERED_ATTEMPTS`] contacts of all seeds were left unanswered.
+    pub(crate) fn are_unresponsive(&self) -> bool {
         self.unanswered_attempts > MAX_UNANSWERED_ATTEMPTS
     }
 
-    /// The seeds to ask now: all while no member is known, else one that is not a live member, so that two halves of
-    /// a cluster that forgot each other meet again.
-    pub(crate) fn next_to_ask(
+    /// The seeds to contact now: all while no live member is known, otherwise one that is not a live member, so that
+    /// partitions that have forgotten each other can merge again.
+    pub(crate) fn select_to_contact(
         &mut self,
         now_ms: f64,
         has_members: bool,
@@ -60,12 +59,12 @@
         let lost: Vec<SocketAddr> = lost.collect();
         if !has_members {
             self.unanswered_attempts += 1;
-            self.next_ask_at_ms = now_ms + ASK_INTERVAL_MS;
+            self.next_contact_at_ms = now_ms + CONTACT_INTERVAL_MS;
             return lost;
         }
         self.unanswered_attempts = 0;
-        self.next_ask_at_ms = now_ms + ASK_LOST_SEED_INTERVAL_MS;
-        let turn = (now_ms / ASK_INTERVAL_MS) as usize % lost.len().max(1);
+        self.next_contact_at_ms = now_ms + CONTACT_LOST_SEED_INTERVAL_MS;
+        let turn = (now_ms / CONTACT_INTERVAL_MS) as usize % lost.len().max(1);
         lost.get(turn).copied().into_iter().collect()
     }
 }
--- a/membership/src/timers.rs
+++ b/membership/src/timers.rs
@@ -1,13 +1,13 @@
-//! The timers of SWIM, and the detection of pauses of this process.
+//! SWIM timers, and detection of process pauses.
 
 use crate::swim::{SwimTimer, PROBE_INTERVAL_MS};
 use std::collections::BTreeMap;
 
-/// A timer that fires so late says that this process was paused: it is over a probe's time, in which answers waited.
+/// A timer that is this late indicates a process pause: responses have waited unread for longer than a probe takes.
 const PAUSE_THRESHOLD_MS: f64 = 1.5 * PROBE_INTERVAL_MS;
 const MICROSECONDS_PER_MS: f64 = 1000.0;
 
-/// The order of timers: by time, and those of one time as they were set.
+/// Orders timers by time, and timers of the same time by insertion.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct TimerKey {
     at_us: u64,
@@ -20,7 +20,7 @@
     }
 }
 
-/// The timers that are set, by time.
+/// The pending timers in order of time.
 #[derive(Default)]
 pub(crate) struct TimerQueue {
     timers: BTreeMap<TimerKey, SwimTimer>,
@@ -28,7 +28,6 @@
 }
 
 impl TimerQueue {
-    /// Sets a timer.
     pub(crate) fn schedule(&mut self, now_ms: f64, after_ms: f64, timer: SwimTimer) {
         self.last_sequence += 1;
         let key = TimerKey {
@@ -38,23 +37,22 @@
         self.timers.insert(key, timer);
     }
 
-    /// When the first timer fires.
-    pub(crate) fn first_at_ms(&self) -> Option<f64> {
+    /// When the next timer is due.
+    pub(crate) fn next_at_ms(&self) -> Option<f64> {
         self.timers.first_key_value().map(|(key, _)| key.at_ms())
     }
 
-    /// Takes a timer that is due.
+    /// Removes and returns the next timer if it is due.
     pub(crate) fn pop_due(&mut self, now_ms: f64) -> Option<SwimTimer> {
-        let first = self.timers.first_entry()?;
-        let due = first.key().at_us as f64 <= now_ms * MICROSECONDS_PER_MS;
-        due.then(|| first.remove())
+        let next = self.timers.first_entry()?;
+        let due = next.key().at_us as f64 <= now_ms * MICROSECONDS_PER_MS;
+        due.then(|| next.remove())
     }
 
-    /// Postpones all timers by the length of a pause of this process, and returns it in milliseconds, if there was
-    /// one. Otherwise a process that wakes to timers of long ago would declare others failed whose answers wait
-    /// unread; its time stood still.
+    /// Detects a process pause, postpones all timers by its length, and returns it in milliseconds. Otherwise overdue
+    /// timers would declare members failed whose responses are still in the socket buffer.
     pub(crate) fn postpone_by_pause(&mut self, now_ms: f64) -> Option<f64> {
-        let late_ms = now_ms - self.first_at_ms()?;
+        let late_ms = now_ms - self.next_at_ms()?;
         if late_ms <= PAUSE_THRESHOLD_MS {
             return None;
         }
