--- a/membership/src/endpoint_gossip.rs
+++ b/membership/src/endpoint_gossip.rs
@@ -1,25 +1,25 @@
-//! What other proxies' endpoint lists say of endpoints beside the own list: the stricter counts until the own list
-//! has come as far. All lists carry versions of one numbering; nothing counts that no list has said.
+//! Merges the endpoint statuses gossiped by other proxies with the proxy's own endpoint list. The stricter status
+//! applies until the own list has reached the version of the gossip. All lists share one sequence of versions.
 
 use crate::types::EndpointGossip;
 use std::collections::BTreeMap;
 
-/// Endpoints of which gossip is kept: as many as a list has.
+/// Bounds the memory for gossip; the maximum length of an endpoint list.
 const MAX_ENDPOINTS: usize = 8192;
-/// [`EndpointGossip::strictness`] of an endpoint that a list has no more.
+/// [`EndpointGossip::strictness`] of an endpoint that is no longer listed.
 const REMOVED: u8 = 2;
 
-/// An endpoint's status, as it counts here.
+/// The status of an endpoint.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct EndpointStatus {
-    /// 0 ready, 1 draining, 2 removed, as [`EndpointGossip::strictness`].
+    /// 0 ready, 1 draining, 2 removed, as in [`EndpointGossip::strictness`].
     pub strictness: u8,
-    /// Clock time of its last start in milliseconds; 0 for long ago.
+    /// Wall-clock time of its last start in milliseconds; 0 if it started long ago.
     pub started_at_ms: f64,
 }
 
 impl EndpointStatus {
-    /// The stricter and the later of both.
+    /// The stricter status and the later start of both.
     fn stricter(self, gossip: &EndpointGossip) -> Self {
         EndpointStatus {
             strictness: self.strictness.max(gossip.strictness),
@@ -28,25 +28,25 @@
     }
 }
 
-/// A line of the own list.
+/// An entry of the own endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ListedEndpoint {
-    /// The endpoint's stable hash, the same at all proxies.
+    /// The endpoint's stable hash, which is the same at all proxies.
     pub endpoint: u64,
-    /// What the list says of it.
+    /// The status in the list.
     pub status: EndpointStatus,
 }
 
-/// What an update of the own list comes to.
+/// The result of an update of the own list.
 #[derive(Debug, Default, PartialEq)]
 pub struct ListUpdate {
-    /// What the other proxies are to hear of it.
+    /// Statuses to gossip to the other proxies.
     pub gossip: Vec<EndpointGossip>,
-    /// Endpoints held stricter by gossip that the own list has now overtaken.
+    /// Endpoints whose received gossip is superseded by the own list.
     pub overtaken: Vec<u64>,
 }
 
-/// The own list, and the gossip that goes beyond it.
+/// The own endpoint list, and received gossip of later list versions.
 #[derive(Debug, Default)]
 pub struct EndpointView {
     list_version: u64,
@@ -55,18 +55,18 @@
 }
 
 impl EndpointView {
-    /// The own list has these lines, up to a version; `complete` where they are the whole list.
+    /// Applies entries of the own list at a version. `complete`: they are the whole list rather than a change.
     pub fn update_list(
         &mut self,
         list_version: u64,
         complete: bool,
-        lines: &[ListedEndpoint],
+        entries: &[ListedEndpoint],
     ) -> ListUpdate {
-        let mut gossip = self.record_lines(list_version, lines);
+        let mut gossip = self.record_entries(list_version, entries);
         if complete {
-            gossip.extend(self.record_missing(list_version, lines));
+            gossip.extend(self.record_missing(list_version, entries));
         }
-        // Versions of another numbering may be lower: the list that was received last is the one to go by.
+        // The version may decrease if the source of the list changes; the latest received list applies.
         self.list_version = list_version;
         let overtaken = self
             .received
@@ -83,35 +83,42 @@
         ListUpdate { gossip, overtaken }
     }
 
-    /// Records the lines, and returns those that are news to other proxies.
-    fn record_lines(&mut self, list_version: u64, lines: &[ListedEndpoint]) -> Vec<EndpointGossip> {
+    /// Records entries and returns the changed ones, to be gossiped.
+    fn record_entries(
+        &mut self,
+        list_version: u64,
+        entries: &[ListedEndpoint],
+    ) -> Vec<EndpointGossip> {
         let is_first_list = self.own.is_empty();
         let mut gossip = Vec::new();
-        for ListedEndpoint { endpoint, status } in lines.iter().copied() {
-            // A list that is new to this proxy is old to others; what changes while it runs may be news to them.
-            let unlisted = if is_first_list {
+        for ListedEndpoint { endpoint, status } in entries.iter().copied() {
+            // The first list after a start is not gossiped, as other proxies already have it.
+            let previous_if_unlisted = if is_first_list {
                 status
             } else {
                 EndpointStatus::default()
             };
-            let before = self.own.insert(endpoint, status).unwrap_or(unlisted);
-            let stricter_or_freer = status.strictness != before.strictness;
-            if stricter_or_freer || status.started_at_ms > before.started_at_ms {
+            let before = self
+                .own
+                .insert(endpoint, status)
+                .unwrap_or(previous_if_unlisted);
+            let strictness_changed = status.strictness != before.strictness;
+            if strictness_changed || status.started_at_ms > before.started_at_ms {
                 gossip.push(gossip_of(endpoint, status, list_version));
             }
         }
         gossip
     }
 
-    /// Records as removed what is missing from the whole list: endpoints removed while nobody listened.
+    /// Marks endpoints missing from a complete list as removed, and returns them to be gossiped.
     fn record_missing(
         &mut self,
         list_version: u64,
-        lines: &[ListedEndpoint],
+        entries: &[ListedEndpoint],
     ) -> Vec<EndpointGossip> {
         let mut gossip = Vec::new();
         for (endpoint, status) in &mut self.own {
-            let is_listed = lines.iter().any(|line| line.endpoint == *endpoint);
+            let is_listed = entries.iter().any(|entry| entry.endpoint == *endpoint);
             if !is_listed && status.strictness < REMOVED {
                 status.strictness = REMOVED;
                 gossip.push(gossip_of(*endpoint, *status, list_version));
@@ -120,11 +127,10 @@
         gossip
     }
 
-    /// Another proxy's list says this. Returns whether another status counts for that endpoint from now on.
+    /// Handles gossip from another proxy. Returns whether it changes the effective status of the endpoint.
     pub fn receive(&mut self, gossip: EndpointGossip) -> bool {
         let known = self.received.get(&gossip.endpoint);
         let is_newer = known.is_none_or(|known| known.list_version < gossip.list_version);
-        // Memory is bounded, and of endpoints that are not listed here nothing is needed.
         let has_room = self.received.len() < MAX_ENDPOINTS || known.is_some();
         let is_listed = self.own.contains_key(&gossip.endpoint);
         if gossip.list_version <= self.list_version || !is_newer || !has_room || !is_listed {
@@ -135,14 +141,14 @@
         before != self.status(gossip.endpoint)
     }
 
-    /// The status of an endpoint that counts here.
+    /// The effective status of an endpoint; none if the own list does not have it.
     pub fn status(&self, endpoint: u64) -> Option<EndpointStatus> {
         let own = *self.own.get(&endpoint)?;
         let gossip = self.received.get(&endpoint);
         Some(gossip.map_or(own, |gossip| own.stricter(gossip)))
     }
 
-    /// How many endpoints have another status than the own list's, by gossip.
+    /// The number of endpoints whose effective status differs from that of the own list.
     pub fn overridden(&self) -> usize {
         let is_overridden = |endpoint: &&u64| {
             let own = self.own.get(*endpoint).copied();
--- a/membership/src/gossip.rs
+++ b/membership/src/gossip.rs
@@ -1,4 +1,4 @@
-//! Messages that proxies spread beside SWIM's own updates, and which of them supersede which.
+//! Gossip messages piggybacked on SWIM packets, and the order in which they supersede each other.
 
 use crate::slow_start_shares::MemberSetDigest;
 use crate::types::{EndpointGossip, NodeId};
@@ -9,55 +9,55 @@
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 use std::rc::Rc;
 
-/// Topics of which the latest message is remembered: three of each member, and several thousand endpoints.
+/// Bounds the memory for topics: three per member, and several thousand endpoints.
 pub(crate) const MAX_TOPICS: usize = 16_384;
 
-/// Stands for the origin in a message that is the same whoever sends it.
+/// Replaces the origin in topics that do not depend on the sender.
 const ANY_ORIGIN: SocketAddr = SocketAddr::new(IpAddr::V4(Ipv4Addr::UNSPECIFIED), 0);
 
 const TOPIC_LEFT: u64 = 0;
 const TOPIC_MEMBER_SET: u64 = 1;
 const TOPIC_FAILED: u64 = 2;
 
-/// A message to all members, encoded by the order of fields and variants.
+/// A message to all members. Positional encoding: the order of fields and variants is part of the wire format.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub(crate) struct GossipMessage {
-    /// The member that it is from, or about where all that know say it.
+    /// The sending member, or the member concerned if several members send the same message.
     pub(crate) origin: SocketAddr,
     pub(crate) incarnation: u64,
-    /// Grows with each message of an incarnation.
+    /// Increases with each message of an incarnation.
     pub(crate) sequence: u64,
     pub(crate) payload: GossipPayload,
 }
 
-/// What a message says.
+/// The content of a gossip message.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub(crate) enum GossipPayload {
-    /// The origin shuts down and sends no more requests.
+    /// The origin is shutting down and sends no more requests.
     Left,
-    /// The member set that the origin counts.
+    /// Digest of the member set that the origin counts.
     MemberSet(MemberSetDigest),
-    /// This member failed, and may still send requests. A new member learns by SWIM only of those that live.
+    /// This member failed but may still send requests. Informs new members, which learn only live ones through SWIM.
     Failed(NodeId),
-    /// What the origin's endpoint list says.
+    /// The status of an endpoint in the origin's endpoint list.
     Endpoint(EndpointGossip),
 }
 
-/// What a message is about; of each topic only the latest message is kept.
+/// The subject of a message. Only the latest message of each topic is kept.
 type Topic = (SocketAddr, u64);
-/// The order of messages within a topic.
-type Order = (u64, u64);
+/// Orders the messages of a topic; a higher version supersedes a lower one.
+type Version = (u64, u64);
 
-/// Says which earlier message a new one supersedes.
+/// Identifies which earlier messages a new one supersedes.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct BroadcastKey {
     topic: Topic,
-    order: Order,
+    version: Version,
 }
 
 impl Invalidates for BroadcastKey {
     fn invalidates(&self, other: &Self) -> bool {
-        self.topic == other.topic && self.order >= other.order
+        self.topic == other.topic && self.version >= other.version
     }
 }
 
@@ -71,49 +71,49 @@
         };
         BroadcastKey {
             topic: (self.origin, topic),
-            order: (self.incarnation, self.sequence),
+            version: (self.incarnation, self.sequence),
         }
     }
 }
 
-/// All proxies hear of a drain at one moment, and each would spread the same message. So it is one message whoever
-/// sends it, and a later version of the list supersedes an earlier one.
+/// Independent of the origin: all proxies learn of a drain at about the same time and gossip the same status, which
+/// then spreads as one message. A later version of the endpoint list supersedes an earlier one.
 fn endpoint_key(gossip: &EndpointGossip) -> BroadcastKey {
     let strictness = u64::from(gossip.strictness) << 56;
     BroadcastKey {
         topic: (ANY_ORIGIN, gossip.endpoint),
-        order: (
+        version: (
             gossip.list_version,
             strictness | gossip.started_at_ms as u64,
         ),
     }
 }
 
-/// The messages received, shared between `foca`, which fills it, and [`crate::swim::Swim`], which empties it.
+/// Received messages. Filled by `foca` through [`GossipReceiver`] and drained by [`crate::swim::Swim`].
 #[derive(Default)]
 pub(crate) struct GossipInbox {
-    latest: BTreeMap<Topic, Order>,
+    latest: BTreeMap<Topic, Version>,
     received: Vec<GossipMessage>,
 }
 
 impl GossipInbox {
-    /// Takes the messages that have come since the last call.
+    /// Takes the messages received since the last call.
     pub(crate) fn take_received(&mut self) -> Vec<GossipMessage> {
         std::mem::take(&mut self.received)
     }
 
-    /// Keeps a message if it is news, and returns its key.
+    /// Stores a message and returns its key; none if it is superseded, a duplicate, or there are too many topics.
     fn accept(&mut self, message: GossipMessage) -> Option<BroadcastKey> {
         let key = message.key();
         let latest = self.latest.get(&key.topic);
-        if latest.is_some_and(|order| *order >= key.order) {
+        if latest.is_some_and(|version| *version >= key.version) {
             return None;
         }
-        // Memory is bounded: beyond this many topics only messages on known ones are kept.
+        // At the limit, messages of new topics are dropped.
         if self.latest.len() >= MAX_TOPICS && latest.is_none() {
             return None;
         }
-        self.latest.insert(key.topic, key.order);
+        self.latest.insert(key.topic, key.version);
         self.received.push(message);
         Some(key)
     }
@@ -124,7 +124,7 @@
 #[error("gossip message cannot be decoded")]
 pub(crate) struct GossipError(#[from] postcard::Error);
 
-/// Hands the messages that `foca` receives to the inbox.
+/// Passes messages received by `foca` to the inbox.
 pub(crate) struct GossipReceiver(pub(crate) Rc<RefCell<GossipInbox>>);
 
 impl BroadcastHandler<NodeId> for GossipReceiver {
--- a/membership/src/membership.rs
+++ b/membership/src/membership.rs
@@ -1,4 +1,4 @@
-//! [`Membership`]: the cluster as one member sees it.
+//! [`Membership`]: one member's view of the cluster.
 
 mod changes;
 mod incarnations;
@@ -21,24 +21,24 @@
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 
-/// How often three others are told that this proxy leaves: with a fifth of all datagrams lost, none of them is
-/// reached in one of ten million runs.
+/// How often the leave message is sent to three other members: with a packet loss of one in five, the probability that
+/// none of them receives it is below one in ten million.
 const LEAVE_BROADCASTS: usize = 4;
-/// How often a proxy gossips which member set it counts, at most: a few hops of gossip. Where twenty join at one
-/// moment, each member would otherwise say twenty times which set it counts, and gossip outruns what may be sent. Said
-/// late, it only raises shares later.
+/// The minimum time between two digests gossiped by a member, about the time of a few gossip hops. Without it, many
+/// simultaneous joins would make every member gossip a digest for each join and overload the gossip. A late digest only
+/// delays an increase of shares.
 const DIGEST_INTERVAL_MS: f64 = 500.0;
-/// How often all members are compared with SWIM's, which costs in proportion to their number.
+/// How often the member table is reconciled with SWIM's, at a cost proportional to the number of members.
 const RECONCILE_INTERVAL_MS: f64 = 1000.0;
 
-/// Kinds of datagram.
+/// Datagram kinds, part of the wire format.
 const KIND_SWIM: u8 = 1;
 const KIND_INCARNATION_NOTICE: u8 = 2;
 
-/// The cluster as one member sees it, free of I/O.
+/// One member's view of the cluster, without I/O.
 ///
-/// The caller hands in datagrams by [`Membership::receive`] and calls [`Membership::handle_timers`] when
-/// [`Membership::next_timer_ms`] has come; after each it sends what [`Membership::take_datagrams`] returns.
+/// The caller passes received datagrams to [`Membership::receive`] and calls [`Membership::handle_timers`] at
+/// [`Membership::next_timer_ms`]; after each call it sends the datagrams from [`Membership::take_datagrams`].
 pub struct Membership {
     local: NodeId,
     local_address_hash: u64,
@@ -61,11 +61,11 @@
 }
 
 impl Membership {
-    /// A member that knows some addresses to ask, any of which may be nobody's.
+    /// Creates a member that discovers others through the seeds, any of which may be unreachable.
     ///
     /// # Errors
     ///
-    /// There is no key, or one is too short.
+    /// Fails if there is no key or if one is too short.
     pub fn new(
         local: NodeId,
         seeds: &[SocketAddr],
@@ -95,21 +95,21 @@
         })
     }
 
-    /// How long a failed member is counted, in milliseconds; a day unless it is set.
+    /// Sets how long a failed member is counted, in milliseconds. The default is a day.
     pub fn set_forget_failed_after(&mut self, milliseconds: f64) {
         self.members.set_forget_failed_after(milliseconds);
     }
 
-    /// Replaces the keys: the first authenticates what is sent, all of them what is received.
+    /// Replaces the keys. Datagrams are signed with the first one and accepted if signed with any of them.
     ///
     /// # Errors
     ///
-    /// There is no key, or one is too short; the old keys stay.
+    /// Fails if there is no key or if one is too short, and keeps the previous keys.
     pub fn set_keys(&mut self, keys: &[&str]) -> Result<(), KeyError> {
         self.authenticator.set_keys(keys)
     }
 
-    /// Replaces the addresses to ask.
+    /// Replaces the seed addresses.
     pub fn set_seeds(&mut self, seeds: &[SocketAddr]) {
         self.seeds.set_addresses(seeds);
     }
@@ -119,27 +119,27 @@
         &self.local
     }
 
-    /// When [`Membership::handle_timers`] is to be called next.
+    /// When to call [`Membership::handle_timers`] next.
     pub fn next_timer_ms(&self) -> f64 {
         let next_timer_ms = self.timers.next_at_ms().unwrap_or(f64::INFINITY);
         next_timer_ms.min(self.seeds.next_contact_at_ms())
     }
 
-    /// Takes the datagrams to send, each with its receiver.
+    /// Takes the datagrams to send, each with its destination.
     pub fn take_datagrams(&mut self) -> Vec<(SocketAddr, Vec<u8>)> {
         std::mem::take(&mut self.datagrams)
     }
 
-    /// Takes what has happened since the last call.
+    /// Takes the events since the last call, in order.
     pub fn take_events(&mut self) -> Vec<MembershipEvent> {
         std::mem::take(&mut self.events)
     }
 
-    /// A datagram has come.
+    /// Handles a received datagram.
     ///
     /// # Errors
     ///
-    /// It was rejected, and nothing came of it.
+    /// Fails if the datagram was rejected; it then changes no member's state.
     pub fn receive(
         &mut self,
         now_ms: f64,
@@ -174,7 +174,7 @@
         }
     }
 
-    /// Does what is due.
+    /// Handles expired timers and periodic work.
     pub fn handle_timers(&mut self, now_ms: f64) {
         if let Some(pause_ms) = self.timers.postpone_by_pause(now_ms) {
             self.events.push(MembershipEvent::Paused(pause_ms));
@@ -183,7 +183,7 @@
             self.contact_seeds(now_ms);
         }
         while let Some(timer) = self.timers.pop_due(now_ms) {
-            let output = self.swim.fire(timer);
+            let output = self.swim.handle_timer(timer);
             self.apply(now_ms, output);
         }
         self.refresh(now_ms);
@@ -196,7 +196,7 @@
             .seeds
             .select_to_contact(now_ms, has_members, |seed| members.is_live(seed));
         for address in addresses {
-            // A member answers whichever identity of its address is asked.
+            // A member answers announcements to any identity with its address.
             let unknown = NodeId {
                 address,
                 incarnation: 0,
@@ -219,13 +219,12 @@
         });
     }
 
-    /// Tells the others what this proxy's own list says of an endpoint: something that makes a proxy stricter, or no
-    /// longer does.
+    /// Gossips the status of an endpoint in this proxy's own endpoint list.
     pub fn gossip_endpoint(&mut self, gossip: EndpointGossip) {
         self.gossip(GossipPayload::Endpoint(gossip));
     }
 
-    /// Takes in what time alone has brought, and gossips which set this member counts, once it has changed.
+    /// Does periodic work: reconciles the members, gossips a changed digest, and probes suspects.
     fn refresh(&mut self, now_ms: f64) {
         if now_ms - self.last_reconciled_ms >= RECONCILE_INTERVAL_MS {
             self.last_reconciled_ms = now_ms;
@@ -269,7 +268,7 @@
         )
     }
 
-    /// This proxy's share of an endpoint's slow-start budget now, where the settings have so many proxies.
+    /// This proxy's current share of an endpoint's slow-start budget, given the configured number of proxies.
     pub fn slow_start_share(&mut self, configured_size: f64) -> f64 {
         if self.leaving {
             return 0.0;
@@ -277,19 +276,19 @@
         self.update_share(Some(configured_size))
     }
 
-    /// This proxy shuts down, and sends no more requests. Others take its share as soon as they hear of it.
+    /// Announces that this proxy shuts down and sends no more requests. Peers then take over its share.
     pub fn leave(&mut self, now_ms: f64) {
         self.leaving = true;
         self.gossip(GossipPayload::Left);
-        // foca's own way of leaving looks like a failure, and outruns the message that this member left. So only the
-        // message goes out, to some of all, who pass it on; were all of them lost, it would be declared failed.
+        // foca's own leave is indistinguishable from a failure and may arrive before the leave message, so it is not
+        // used. If all copies of the leave message are lost, peers declare this member failed.
         for _ in 0..LEAVE_BROADCASTS {
             let output = self.swim.send_gossip();
             self.apply(now_ms, output);
         }
     }
 
-    /// All other members as they are known now, in the order of their addresses.
+    /// All other known members in order of address.
     pub fn members(&self) -> Vec<Member> {
         let suspects: BTreeSet<SocketAddr> = self.swim.suspects().map(|id| id.address).collect();
         let mut members: Vec<Member> = self.members.iter().cloned().collect();
@@ -301,19 +300,19 @@
         members
     }
 
-    /// How many other members live, and how many failed.
+    /// The number of other members by state.
     pub fn counts(&self) -> MemberCounts {
         self.members.counts()
     }
 
-    /// How much of the cluster that was last complete is reached.
+    /// How much of the known cluster is reachable.
     pub fn reachability(&self) -> Reachability {
         let unresponsive_since_ms = self.seeds.are_unresponsive().then_some(self.started_at_ms);
         self.reachability
             .cluster(&self.members, unresponsive_since_ms)
     }
 
-    /// How much of each zone is reached, this proxy counted in its own; zones in the order of their names.
+    /// How much of each zone is reachable, in order of name. This proxy counts in its own zone.
     pub fn zone_reachability(&self) -> Vec<ZoneReachability> {
         self.reachability.zones(&self.local.zone, &self.members)
     }
--- a/membership/src/membership/changes.rs
+++ b/membership/src/membership/changes.rs
@@ -1,4 +1,4 @@
-//! Taking in what SWIM wants done, the members' states, and the gossip received.
+//! Processing of SWIM output: timers, packets, member state changes, and received gossip.
 
 use super::{Membership, KIND_SWIM};
 use crate::gossip::{GossipMessage, GossipPayload};
@@ -9,7 +9,7 @@
 const MS_PER_SECOND: f64 = 1000.0;
 
 impl Membership {
-    /// Does what a call of SWIM wants done, and takes in the gossip that came with it.
+    /// Applies the output of a SWIM call and handles the gossip received with it.
     pub(super) fn apply(&mut self, now_ms: f64, output: SwimOutput) {
         if let Some(incarnation) = output.rejoined_as {
             self.adopt_incarnation(incarnation);
@@ -29,12 +29,12 @@
         }
     }
 
-    /// A member is in this state now. Where it is none a later incarnation took an earlier one's place: that may be
-    /// known only as failed, and an earlier one that left may have a successor that lives, so SWIM is asked.
+    /// Applies a member's new state. Without one, a later incarnation has replaced an earlier one. The state is then
+    /// looked up in SWIM, because the later incarnation may be alive or already failed.
     fn apply_state(&mut self, now_ms: f64, id: NodeId, state: Option<MemberState>) {
-        // An indirect probe reaches this member from a peer that knows only an earlier incarnation of it. foca
-        // then keeps that incarnation as a failed member. It must not be counted among the others: no peer counts
-        // it, so no member set would agree with this one's, and its slow-start share would stay at zero.
+        // An indirect probe can come from a peer that knows only an earlier incarnation of this member, which foca then
+        // keeps as a failed member. It must not be counted: no peer counts it, so digests would never agree and this
+        // proxy's slow-start share would stay at zero.
         if id.address == self.local.address {
             return;
         }
@@ -60,8 +60,9 @@
         });
     }
 
-    /// Tells a new member of those that failed before it came. It would never learn of them by SWIM, count another
-    /// set than the others for good, and get no share. All that know say it; one message each second goes round.
+    /// Informs a new member of those that failed before it joined. SWIM does not report them, so its digest would never
+    /// agree with the others' and it would get no share. All members that know of a failure gossip it; as the sequence
+    /// number is in seconds, one such message per second spreads.
     fn gossip_failed_members(&mut self, now_ms: f64) {
         for member in self.members.failed() {
             self.swim.add_gossip(&GossipMessage {
@@ -103,7 +104,7 @@
         }
     }
 
-    /// Takes in states that SWIM holds but did not notify of, as of a failure where the member was not known before.
+    /// Applies states for which SWIM sent no notification, such as the failure of a previously unknown member.
     pub(super) fn reconcile(&mut self, now_ms: f64) {
         let differing: Vec<_> = self
             .swim
--- a/membership/src/membership/incarnations.rs
+++ b/membership/src/membership/incarnations.rs
@@ -1,4 +1,4 @@
-//! Superseded incarnations: telling others of theirs, and going on as a later one.
+//! Superseded incarnations: notifying other members, and continuing under a later one.
 
 use super::{Membership, KIND_INCARNATION_NOTICE};
 use crate::authentication::AuthenticationError;
@@ -8,7 +8,7 @@
 use std::net::SocketAddr;
 
 impl Membership {
-    /// Tells the sender of a rejected datagram if its incarnation is superseded.
+    /// Notifies the sender of a rejected datagram if its incarnation is superseded.
     pub(super) fn handle_rejected(
         &mut self,
         now_ms: f64,
@@ -27,7 +27,7 @@
         }
     }
 
-    /// Tells a sender that left and was started again under the same incarnation: nobody would believe it.
+    /// Notifies a sender that left and was restarted with the same or an earlier incarnation, which peers ignore.
     pub(super) fn notify_if_left(
         &mut self,
         now_ms: f64,
@@ -36,7 +36,7 @@
         incarnation: u64,
     ) {
         let left = self.members.iter().find(|member| {
-            // Of a member that has just left something may still be on its way.
+            // Datagrams of a member that has just left may still be in transit.
             member.state == MemberState::Left
                 && member.id.incarnation >= incarnation
                 && now_ms - member.since_ms > SUSPICION_TIMEOUT_MS
@@ -58,7 +58,7 @@
         let datagram = self
             .authenticator
             .sign(KIND_INCARNATION_NOTICE, &notice.encode());
-        // Behind a translation of addresses a datagram seems to come from where nobody listens.
+        // Behind NAT, the source address may not accept datagrams, so the advertised one is preferred.
         let member = self.members.find_by_sender_id(sender_id);
         let to = member.map_or(from, |member| member.id.address);
         self.datagrams.push((to, datagram));
--- a/membership/src/swim.rs
+++ b/membership/src/swim.rs
@@ -1,4 +1,4 @@
-//! The SWIM protocol by `foca`: its configuration, and calls that return what it wants done.
+//! The SWIM protocol: configuration of `foca`, and calls that return its output.
 
 use crate::authentication::MAX_BODY_LENGTH;
 use crate::gossip::{GossipInbox, GossipMessage, GossipReceiver};
@@ -12,25 +12,25 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// How often a member probes one other. Where a third fails at once, each of those is probed by somebody within seven
-/// of these, 99 times of 100.
+/// How often each member probes one other member. If a third of the members fail at once, each of those is probed
+/// within seven intervals in 99 of 100 cases.
 pub(crate) const PROBE_INTERVAL_MS: f64 = 200.0;
-/// How long a suspected member has to refute the suspicion, through others if need be.
+/// How long a suspected member has to refute the suspicion, directly or through other members.
 pub(crate) const SUSPICION_TIMEOUT_MS: f64 = 1000.0;
-/// A third of the interval for the direct probe leaves two thirds for the indirect ones.
+/// Timeout of a direct probe; the rest of the interval is left for indirect probes.
 const PROBE_TIMEOUT_MS: f64 = PROBE_INTERVAL_MS / 3.0;
 const INDIRECT_PROBES: usize = 3;
-/// Each hop reaches three more: twelve are over three times what a thousand members need.
+/// How often a member transmits an update: with a fanout of three, over three times what a thousand members need.
 const MAX_TRANSMISSIONS: u8 = 12;
-/// A day: a member that comes back by then under an old incarnation is told to renew it.
-const REMEMBER_FAILED: Duration = Duration::from_secs(86_400);
+/// A member that returns with an old incarnation within this time is told to renew it.
+const FORGET_DOWN_AFTER: Duration = Duration::from_secs(86_400);
 const ANNOUNCE_INTERVAL: Duration = Duration::from_secs(30);
 const ANNOUNCE_TO_FAILED_INTERVAL_MS: f64 = 2000.0;
-const ANNOUNCED_FAILED_MEMBERS: usize = 2;
+const ANNOUNCE_TO_FAILED_FANOUT: usize = 2;
 const GOSSIP_INTERVAL_MS: f64 = 200.0;
 const GOSSIP_FANOUT: usize = 3;
 
-/// A timer that `foca` wants to be called back with.
+/// A timer scheduled by `foca`.
 pub(crate) type SwimTimer = foca::Timer<NodeId>;
 
 impl Identity for NodeId {
@@ -40,7 +40,7 @@
         self.address
     }
 
-    /// Declared failed though it lives, it goes on as a later incarnation.
+    /// The identity under which a member rejoins after it was falsely declared failed.
     fn renew(&self) -> Option<Self> {
         Some(NodeId {
             incarnation: self.incarnation + 1,
@@ -53,20 +53,20 @@
     }
 }
 
-/// A change of a member's state. The state is none where a later incarnation took an earlier one's place.
+/// A change of a member's state. The state is none if a later incarnation has replaced an earlier one.
 pub(crate) struct StateChange {
     pub(crate) id: NodeId,
     pub(crate) state: Option<MemberState>,
 }
 
-/// What a call of [`Swim`] wants done, in order.
+/// The output of a call of [`Swim`], each kind in order.
 #[derive(Default)]
 pub(crate) struct SwimOutput {
     pub(crate) packets: Vec<(SocketAddr, Vec<u8>)>,
-    /// Timers, each with the milliseconds after which it fires.
+    /// Timers with their delay in milliseconds.
     pub(crate) timers: Vec<(f64, SwimTimer)>,
     pub(crate) changes: Vec<StateChange>,
-    /// The incarnation under which this member goes on, once it was declared failed.
+    /// The new incarnation of this member, if it rejoined after it was declared failed.
     pub(crate) rejoined_as: Option<u64>,
 }
 
@@ -101,7 +101,7 @@
 
 type MemberFoca = Foca<NodeId, PostcardCodec, ChaCha8Rng, GossipReceiver>;
 
-/// One member's SWIM protocol state.
+/// The SWIM protocol state of this member.
 pub(crate) struct Swim {
     foca: MemberFoca,
     inbox: Rc<RefCell<GossipInbox>>,
@@ -112,53 +112,52 @@
         let inbox = Rc::new(RefCell::new(GossipInbox::default()));
         let rng = ChaCha8Rng::seed_from_u64(seed);
         let receiver = GossipReceiver(Rc::clone(&inbox));
-        let foca =
-            Foca::with_custom_broadcast(local, configuration(), rng, PostcardCodec, receiver);
+        let foca = Foca::with_custom_broadcast(local, foca_config(), rng, PostcardCodec, receiver);
         Swim { foca, inbox }
     }
 
-    /// Takes in a packet.
+    /// Handles a received packet.
     pub(crate) fn receive(&mut self, packet: &[u8]) -> SwimOutput {
-        self.call(|foca, output| foca.handle_data(packet, output))
+        self.run(|foca, output| foca.handle_data(packet, output))
     }
 
-    /// A timer fires.
-    pub(crate) fn fire(&mut self, timer: SwimTimer) -> SwimOutput {
-        self.call(|foca, output| foca.handle_timer(timer, output))
+    /// Handles an expired timer.
+    pub(crate) fn handle_timer(&mut self, timer: SwimTimer) -> SwimOutput {
+        self.run(|foca, output| foca.handle_timer(timer, output))
     }
 
-    /// Asks a member to answer with what it knows.
+    /// Requests the member list from a member.
     pub(crate) fn announce(&mut self, to: NodeId) -> SwimOutput {
-        self.call(|foca, output| foca.announce(to, output))
+        self.run(|foca, output| foca.announce(to, output))
     }
 
-    /// Goes on under another identity.
+    /// Continues under another identity.
     pub(crate) fn change_identity(&mut self, id: NodeId) -> SwimOutput {
-        self.call(|foca, output| foca.change_identity(id, output))
+        self.run(|foca, output| foca.change_identity(id, output))
     }
 
-    /// Sends the gossip messages that wait to a few members now.
+    /// Sends pending gossip messages to a few members immediately.
     pub(crate) fn send_gossip(&mut self) -> SwimOutput {
-        self.call(|foca, output| foca.broadcast(output))
+        self.run(|foca, output| foca.broadcast(output))
     }
 
-    fn call(
+    fn run(
         &mut self,
         operation: impl FnOnce(&mut MemberFoca, &mut SwimOutput) -> Result<(), foca::Error>,
     ) -> SwimOutput {
         let mut output = SwimOutput::default();
-        // An input that foca rejects, it rejects whole; what it wanted before that still counts.
+        // Errors mean that foca rejected the input; output from before the rejection is still valid.
         let _ = operation(&mut self.foca, &mut output);
         output
     }
 
-    /// Adds a message to those that are spread.
+    /// Queues a message to be gossiped to all members.
     pub(crate) fn add_gossip(&mut self, message: &GossipMessage) {
         let bytes = postcard::to_stdvec(message).expect("gossip messages can be encoded");
-        // One that is rejected here would be older than one sent before, which cannot be.
+        // foca drops superseded and duplicate messages, which need not be sent.
         let _ = self.foca.add_broadcast(&bytes);
-        // foca hands the message to the inbox too. What else waits there, of a packet that is being taken in, is
-        // dropped with it; it is spread on all the same.
+        // foca delivers the message to the local inbox as well; discard it. Messages of a packet being processed are
+        // discarded along with it, but are still forwarded to other members.
         self.take_received();
     }
 
@@ -167,13 +166,13 @@
         self.inbox.borrow_mut().take_received()
     }
 
-    /// The state of this very identity, if it is known.
+    /// The state of a member under exactly this identity; none if that is unknown.
     pub(crate) fn state_of(&self, id: &NodeId) -> Option<MemberState> {
         self.members()
             .find_map(|(member, state)| (member == id).then_some(state))
     }
 
-    /// All members that are known, with their state; a suspected member is alive here.
+    /// All known members and their states; suspected members are reported as alive.
     pub(crate) fn members(&self) -> impl Iterator<Item = (&NodeId, MemberState)> {
         self.foca.iter_membership_state().map(|member| {
             let state = if member.state() == foca::State::Down {
@@ -185,7 +184,7 @@
         })
     }
 
-    /// The members that are suspected now.
+    /// The currently suspected members.
     pub(crate) fn suspects(&self) -> impl Iterator<Item = &NodeId> {
         self.foca
             .iter_membership_state()
@@ -194,7 +193,7 @@
     }
 }
 
-fn configuration() -> foca::Config {
+fn foca_config() -> foca::Config {
     let milliseconds = |ms: f64| Duration::from_secs_f64(ms / 1000.0);
     let nonzero = |count| NonZeroUsize::new(count).expect("not zero");
     foca::Config {
@@ -203,7 +202,7 @@
         num_indirect_probes: nonzero(INDIRECT_PROBES),
         max_transmissions: NonZeroU8::new(MAX_TRANSMISSIONS).expect("not zero"),
         suspect_to_down_after: milliseconds(SUSPICION_TIMEOUT_MS),
-        remove_down_after: Some(REMEMBER_FAILED),
+        remove_down_after: Some(FORGET_DOWN_AFTER),
         max_packet_size: nonzero(MAX_BODY_LENGTH),
         notify_down_members: true,
         periodic_announce: Some(PeriodicParams {
@@ -212,7 +211,7 @@
         }),
         periodic_announce_to_down_members: Some(PeriodicParams {
             frequency: milliseconds(ANNOUNCE_TO_FAILED_INTERVAL_MS),
-            num_members: nonzero(ANNOUNCED_FAILED_MEMBERS),
+            num_members: nonzero(ANNOUNCE_TO_FAILED_FANOUT),
         }),
         periodic_gossip: Some(PeriodicParams {
             frequency: milliseconds(GOSSIP_INTERVAL_MS),
