--- a/membership/src/slow_start_shares.rs
+++ b/membership/src/slow_start_shares.rs
@@ -50,7 +50,7 @@
 /// - A share is lowered immediately. A proxy gossips the digest of a member set only after its share fits that set.
 /// - A share is raised only after all members of the counted set, including failed ones, have gossiped the digest of
 ///   that set. A member that is cut off thus holds at most its share of the last agreed set, whose size is known.
-/// - A new incarnation would never get a share if a member is gone for good. It therefore also takes one once all live
+/// - A new incarnation would never get a share if a member never returns. It therefore also takes one once all live
 ///   members have gossiped the same set with the same members failed: an even part of what the failed ones leave.
 ///
 /// An isolated proxy takes an even share by the configured number of proxies.
