--- a/proxy/src/lifecycle/shutdown.rs
+++ b/proxy/src/lifecycle/shutdown.rs
@@ -39,7 +39,7 @@
         let longest = proxy.longest_ttl_ms.min(MAX_DEADLINE_MS);
         proxy.answer_by = now + longest + END_AFTER_DEADLINE_MS - LAST_ANSWERS_MS;
         // A request accepted before the signal may have a longer deadline than this process.
-        proxy.end_requests(proxy.answer_by);
+        proxy.limit_deadlines(proxy.answer_by);
         self.idle_until_ms = now + STILL_ACCEPTING_MS;
         if proxy.upgrade.has_newer_process() {
             // A request that crosses the close of its idle connection goes unread. Clients that send one are told
--- a/proxy/src/request_lifecycle.rs
+++ b/proxy/src/request_lifecycle.rs
@@ -2,7 +2,7 @@
 
 use crate::proxy::Proxy;
 use crate::slot_table::{DownstreamKey, UpstreamKey};
-use crate::upstream::{AttemptResponse, BufferedResponse};
+use crate::upstream::{AttemptCompletion, BufferedResponse};
 use crankmux::dispatcher::{FinalAnswer, NewAttempt, NextSteps};
 use crankmux::types::{
     AttemptOutcome, AttemptResult, EndpointId, LoadReport, NewRequest, RequestId,
@@ -52,7 +52,7 @@
     pub(crate) fn follow_steps(&mut self, request: RequestId, steps: NextSteps) {
         for attempt in steps.cancel {
             if let Some(connection) = self.requests.connection_of(request, attempt) {
-                self.cancel(connection);
+                self.cancel_attempt(connection);
             }
         }
         match steps.final_answer {
@@ -92,10 +92,10 @@
         }
         let timeout_ms = attempt.timeout_ms.min(entry.deadline - now);
         let on_complete =
-            Box::new(move |proxy: &mut Proxy, response| proxy.attempt_ended(started, response));
+            Box::new(move |proxy: &mut Proxy, completion| proxy.attempt_ended(started, completion));
         let sent = match entry.client {
             Some(client) if timeout_ms > 0.0 => {
-                self.send(request, client, attempt.endpoint, timeout_ms, on_complete)
+                self.send_attempt(request, client, attempt.endpoint, timeout_ms, on_complete)
             }
             _ => Err(AttemptOutcome::NotSent),
         };
@@ -105,7 +105,9 @@
                 self.requests
                     .attempt_sent(request, entry.number, connection);
             }
-            Err(outcome) => self.attempt_ended(started, AttemptResponse::without_answer(outcome)),
+            Err(outcome) => {
+                self.attempt_ended(started, AttemptCompletion::without_response(outcome))
+            }
         }
     }
 
@@ -125,13 +127,13 @@
     }
 
     /// An attempt has ended: the first successful response goes to the client, any outcome to the dispatcher.
-    fn attempt_ended(&mut self, attempt: StartedAttempt, response: AttemptResponse) {
-        let AttemptResponse {
+    fn attempt_ended(&mut self, attempt: StartedAttempt, completion: AttemptCompletion) {
+        let AttemptCompletion {
             outcome,
             load,
-            answer,
+            response,
             endpoint_duration_ms,
-        } = response;
+        } = completion;
         self.count_outcome(outcome);
         let now = self.now();
         self.report_to_cluster(attempt.endpoint, &load, now);
@@ -148,7 +150,7 @@
             None
         };
         let request_closed = !self.requests.waits(attempt.request);
-        if let Some(BufferedResponse { buffer, message }) = answer {
+        if let Some(BufferedResponse { buffer, message }) = response {
             if let Some(client) = client {
                 self.counters.requests_succeeded += 1;
                 self.hand_back(client, buffer.filled(), &message);
--- a/proxy/src/streaming/request.rs
+++ b/proxy/src/streaming/request.rs
@@ -108,7 +108,7 @@
         };
         let request = attempt.request;
         let Some(outbox) = attempt.write_piece(stream, now) else {
-            self.endpoint_takes_no_more(key, client);
+            self.request_write_blocked(key, client);
             return PieceMoved::Pending;
         };
         let Some(mut upload) = self.downstream.upload(client) else {
@@ -124,7 +124,7 @@
         }
         let moved = move_next_piece(&mut upload, outbox, chunked, now);
         if matches!(moved, PieceMoved::LastPiece) {
-            attempt.request_source_finished();
+            attempt.finish_request_source();
         }
         moved
     }
--- a/proxy/src/streaming/response.rs
+++ b/proxy/src/streaming/response.rs
@@ -6,7 +6,7 @@
 use crate::metrics::access::RequestOutcome;
 use crate::proxy::Proxy;
 use crate::slot_table::UpstreamKey;
-use crate::upstream::{AttemptResponse, ResponseState};
+use crate::upstream::{AttemptCompletion, ResponseState};
 use crankmux::types::{AttemptOutcome, LoadReport};
 
 /// What streaming one piece has come to.
@@ -44,7 +44,7 @@
             // Only the connection's end delimits the response, so one cut short is reset.
             None => BodyFraming::UntilClose,
         };
-        attempt.response_streaming_began(client, framing == BodyFraming::Chunked, now);
+        attempt.start_response_streaming(client, framing == BodyFraming::Chunked, now);
         let timer = self.upstream.connections[key].timer.take();
         self.timers.cancel(timer);
         self.streaming_progress(request, key, false);
@@ -60,7 +60,7 @@
         if let Some(response) = attempt.response_state.response_mut() {
             response.message.release(&mut inbox);
         }
-        attempt.inbox = Some(inbox);
+        attempt.read_buffer = Some(inbox);
         self.upstream_timeout(key);
     }
 
@@ -102,7 +102,7 @@
             return PieceStreamed::Pending;
         };
         let client = *client;
-        let Some(inbox) = &mut attempt.inbox else {
+        let Some(inbox) = &mut attempt.read_buffer else {
             return PieceStreamed::Pending;
         };
         let Some(outbox) = self.downstream.drained_response_buffer(client) else {
@@ -129,13 +129,13 @@
         let endpoint = connection.endpoint;
         let inbox = connection
             .attempt_mut()
-            .and_then(|attempt| attempt.inbox.take());
+            .and_then(|attempt| attempt.read_buffer.take());
         let Some(mut inbox) = inbox else {
             return PieceStreamed::Pending;
         };
         let filled = connection.read_into(&mut inbox);
         if filled == ReadOutcome::Received {
-            self.upstream.note_heard(endpoint, now);
+            self.upstream.record_activity(endpoint, now);
         }
         let Some(attempt) = self.upstream.connections[key].attempt_mut() else {
             self.buffers.give_back(inbox);
@@ -144,7 +144,7 @@
         if filled == ReadOutcome::Received {
             attempt.last_progress_at = now;
         }
-        let inbox = attempt.inbox.insert(inbox);
+        let inbox = attempt.read_buffer.insert(inbox);
         let Some(response) = attempt.response_state.response_mut() else {
             return PieceStreamed::Pending;
         };
@@ -181,10 +181,10 @@
             return;
         };
         let has_bytes_behind = attempt
-            .inbox
+            .read_buffer
             .as_ref()
             .is_some_and(|inbox| !inbox.filled().is_empty());
-        if let Some(inbox) = attempt.inbox {
+        if let Some(inbox) = attempt.read_buffer {
             self.buffers.give_back(inbox);
         }
         self.counters.requests_succeeded += 1;
@@ -194,12 +194,12 @@
         self.keep_or_close(key, response.message.keep_alive && !has_bytes_behind);
         self.write_answer(client);
         self.downstream.serve_later(client);
-        let response = AttemptResponse {
+        let completion = AttemptCompletion {
             outcome: AttemptOutcome::Succeeded,
             load: response.load,
-            answer: None,
+            response: None,
             endpoint_duration_ms,
         };
-        (attempt.on_complete)(self, response);
+        (attempt.on_complete)(self, completion);
     }
 }
--- a/proxy/src/upstream/attempt.rs
+++ b/proxy/src/upstream/attempt.rs
@@ -1,8 +1,8 @@
-//! An attempt on its connection: how far its request is written, and how far its response is read. The two go on
-//! side by side, as an endpoint may answer before it has read the whole request.
+//! The state of an attempt. Its request and its response advance independently, as an endpoint may respond before
+//! it has read the entire request.
 
 use super::request_state::{RequestState, StreamedRequest};
-use super::response::{read_response, Response};
+use super::response::{parse_response, Response};
 use super::response_state::ResponseState;
 use crate::buffers::{Buffer, MAX_BUFFERED_BODY_BYTES};
 use crate::http::{Message, ParseError};
@@ -13,69 +13,67 @@
 use crankmux::types::{AttemptOutcome, LoadReport, RequestId};
 use mio::net::TcpStream;
 
-/// What is kept of a request's time for the way of a response's first bytes: the slack that the protocol allows,
-/// and a few times what a turn of the event loop takes where many proxies share cores.
-const DELIVERY_RESERVE_MS: f64 = 50.0;
+/// Part of a request's timeout reserved for delivering the first bytes of the response to the client.
+const DELIVERY_MARGIN_MS: f64 = 50.0;
 
-/// A response that has been received whole.
+/// A response received completely.
 pub struct BufferedResponse {
-    /// The buffer that holds its head and body.
+    /// The buffer that holds the head and the body.
     pub buffer: Buffer,
-    /// Where head and body end in the buffer.
+    /// The positions of head and body in the buffer.
     pub message: Message,
 }
 
-/// What an attempt has come to.
-pub struct AttemptResponse {
-    /// How it ended.
+/// The result of an attempt, as passed to its completion callback.
+pub struct AttemptCompletion {
+    /// How the attempt ended.
     pub outcome: AttemptOutcome,
-    /// The load that the endpoint reported with it.
+    /// The load that the endpoint reported in the response.
     pub load: LoadReport,
-    /// The response, where it was received whole and has not been streamed to the client.
-    pub answer: Option<BufferedResponse>,
-    /// How long the endpoint took, where that is not the time since the attempt began.
+    /// The response, if it was received completely and not streamed to the client.
+    pub response: Option<BufferedResponse>,
+    /// How long the endpoint worked, if that differs from the time since the attempt started.
     pub endpoint_duration_ms: Option<f64>,
 }
 
-impl AttemptResponse {
-    /// An attempt that brought no response.
-    pub fn without_answer(outcome: AttemptOutcome) -> Self {
-        AttemptResponse {
+impl AttemptCompletion {
+    /// The result of an attempt that got no response.
+    pub fn without_response(outcome: AttemptOutcome) -> Self {
+        AttemptCompletion {
             outcome,
             load: LoadReport::default(),
-            answer: None,
+            response: None,
             endpoint_duration_ms: None,
         }
     }
 }
 
-/// What is called once an attempt has ended.
-pub type CompletionCallback<P> = Box<dyn FnOnce(&mut P, AttemptResponse)>;
+/// Called once, when an attempt has ended.
+pub type CompletionCallback<P> = Box<dyn FnOnce(&mut P, AttemptCompletion)>;
 
-/// An attempt, from the time it is given a connection until its outcome is handed to its completion callback.
+/// An attempt, from its assignment to a connection until its completion callback is called.
 pub struct Attempt<P> {
-    /// The request that it is for; none for a load probe.
+    /// The request; `None` for a load probe.
     pub request: Option<RequestId>,
-    /// What is called with its outcome.
+    /// Called with the result.
     pub on_complete: CompletionCallback<P>,
     pub(super) started_at: f64,
     pub(super) timeout_ms: f64,
     pub(super) deadline: f64,
-    /// When anything was last read or written, where a body is streamed.
+    /// When bytes of a streamed body were last read or written.
     pub last_progress_at: f64,
-    /// Whether a write has failed. The failed write took the socket's error along, so that a read after it reports
-    /// an end in good order.
+    /// Whether a write has failed. That write consumed the socket error, so a later read reports a clean close.
     pub(super) write_failed: bool,
-    /// How far the request is written.
+    /// Progress of writing the request.
     pub request_state: RequestState,
-    /// How far the response is read.
+    /// Progress of reading the response.
     pub response_state: ResponseState,
-    /// Bytes received that are not handled yet.
-    pub inbox: Option<Buffer>,
+    /// Received bytes that have not been processed.
+    pub read_buffer: Option<Buffer>,
 }
 
 impl<P> Attempt<P> {
-    /// An attempt of which nothing is written yet.
+    /// Creates an attempt of which nothing has been written.
     pub fn new(
         request: Option<RequestId>,
         request_state: RequestState,
@@ -93,7 +91,7 @@
             write_failed: false,
             request_state,
             response_state: ResponseState::AwaitingHead,
-            inbox: None,
+            read_buffer: None,
         }
     }
 
@@ -104,12 +102,12 @@
             .is_some_and(|pending| !pending.is_started())
     }
 
-    /// Whether the request is written whole. Before that the endpoint cannot have run it.
+    /// Whether the request is completely written. Until then the endpoint cannot have processed it.
     pub fn is_written(&self) -> bool {
         matches!(self.request_state, RequestState::Written { .. })
     }
 
-    /// The client that more of the request comes from.
+    /// The client that is still sending the request body.
     pub fn request_source(&self) -> Option<DownstreamKey> {
         match &self.request_state {
             RequestState::Streamed(streamed) => streamed.source,
@@ -117,7 +115,7 @@
         }
     }
 
-    /// Whether all that has come of a streamed request is written, so that it is the client's turn.
+    /// Whether everything received of a streamed request is written, and more is expected from the client.
     pub(super) fn awaits_request_source(&self) -> bool {
         self.request_source().is_some()
             && self
@@ -134,8 +132,8 @@
         }
     }
 
-    /// How long the endpoint worked at a request with a streamed body: without the time in which a client sent or
-    /// took that body.
+    /// How long the endpoint worked, excluding the time in which the client sent a streamed request body or
+    /// received a streamed response. `None` if neither body was streamed.
     pub fn endpoint_duration_ms(&self, now: f64) -> Option<f64> {
         let request_streamed_at = match &self.request_state {
             RequestState::Written { streamed_at } => *streamed_at,
@@ -152,10 +150,8 @@
         Some(response_began_at.unwrap_or(now) - from)
     }
 
-    // Transitions of the request.
-
-    /// Writes the last piece of the request. Once its last byte has been written the request's time starts, if it
-    /// was streamed, and the buffer is returned.
+    /// Writes the last piece of the request. Returns the buffer once the last byte has been written, which also
+    /// restarts the timeout of a streamed request.
     pub(super) fn write_last_piece(&mut self, stream: &mut TcpStream, now: f64) -> Option<Buffer> {
         let pending = match &mut self.request_state {
             RequestState::Buffered(pending) => pending,
@@ -166,7 +162,7 @@
             Ok(true) => self.request_written(now),
             Ok(false) => None,
             Err(_) => {
-                // A response may have come before the request was through; reading shows.
+                // The endpoint may have responded early: the next read tells.
                 self.write_failed = true;
                 None
             }
@@ -176,8 +172,8 @@
     fn request_written(&mut self, now: f64) -> Option<Buffer> {
         let streamed_at = match &self.request_state {
             RequestState::Streamed(streamed) => {
-                let received_at = streamed.rest_received_at.unwrap_or(now);
-                self.deadline = received_at + self.timeout_ms;
+                let timeout_from = streamed.write_blocked_at.unwrap_or(now);
+                self.deadline = timeout_from + self.timeout_ms;
                 Some(now)
             }
             RequestState::Buffered(_) => None,
@@ -187,15 +183,15 @@
         std::mem::replace(&mut self.request_state, written).into_buffer()
     }
 
-    /// Writes the pending piece of a streamed request. Returns its buffer, empty, for the next piece, or none where
-    /// the endpoint takes no more for now.
+    /// Writes the pending piece of a streamed request. Returns the emptied buffer for the next piece, or `None` if
+    /// the piece could not be written completely.
     pub fn write_piece(&mut self, stream: &mut TcpStream, now: f64) -> Option<&mut Buffer> {
         let RequestState::Streamed(streamed) = &mut self.request_state else {
             return None;
         };
         let result = streamed.pending.write_to(stream);
         self.write_failed |= result.is_err();
-        // An error shows as the connection is read.
+        // A write error is handled when the connection is read.
         if !matches!(result, Ok(true)) {
             return None;
         }
@@ -203,33 +199,31 @@
         Some(streamed.pending.clear())
     }
 
-    /// The last piece of a streamed request is pending.
-    pub fn request_source_finished(&mut self) {
+    /// Marks the pending piece of a streamed request as the last one.
+    pub fn finish_request_source(&mut self) {
         if let RequestState::Streamed(streamed) = &mut self.request_state {
             streamed.source = None;
         }
     }
 
-    // Transitions of the response.
-
-    /// Goes on through the bytes received; returns whether the response is whole.
-    pub(super) fn read_response(&mut self, inbox: &mut Buffer) -> Result<bool, ParseError> {
+    /// Parses the received bytes; returns whether the response is complete.
+    pub(super) fn read_response(&mut self, read_buffer: &mut Buffer) -> Result<bool, ParseError> {
         if let Some(response) = self.response_state.response_mut() {
-            return response.message.advance(inbox);
+            return response.message.advance(read_buffer);
         }
-        let Some(mut response) = read_response(inbox)? else {
+        let Some(mut response) = parse_response(read_buffer)? else {
             return Ok(false);
         };
-        let is_complete = response.message.advance(inbox);
+        let is_complete = response.message.advance(read_buffer);
         self.response_state = ResponseState::Buffering {
             response,
-            held_since: None,
+            buffering_since: None,
         };
         is_complete
     }
 
-    /// The response goes to its client in pieces from now on.
-    pub fn response_streaming_began(&mut self, client: DownstreamKey, chunked: bool, now: f64) {
+    /// Starts to stream the response to the client.
+    pub fn start_response_streaming(&mut self, client: DownstreamKey, chunked: bool, now: f64) {
         let state = std::mem::replace(&mut self.response_state, ResponseState::AwaitingHead);
         if let Some(response) = state.into_response() {
             self.response_state = ResponseState::Streaming {
@@ -242,28 +236,26 @@
         self.last_progress_at = now;
     }
 
-    // Whether, and until when, the response is held back.
-
-    /// The response, where it may be streamed: a good one to a request written whole.
+    /// The response, if it may be streamed: it is successful and the request is completely written.
     fn streamable_response(&self) -> Option<&Response> {
         self.response_state
             .response()
             .filter(|response| self.is_written() && response.outcome == AttemptOutcome::Succeeded)
     }
 
-    /// Whether the response is to be streamed now: it is longer than a buffer holds.
-    pub(super) fn must_stream_response(&self, inbox: &Buffer) -> bool {
+    /// Whether the response must be streamed now because it exceeds the buffered size.
+    pub(super) fn must_stream_response(&self, read_buffer: &Buffer) -> bool {
         let Some(Response { message, .. }) = self.streamable_response() else {
             return false;
         };
-        let received = inbox.filled().len() - message.body_start;
+        let received = read_buffer.filled().len() - message.body_start;
         let is_long = message
             .body_length()
             .is_some_and(|length| length > MAX_BUFFERED_BODY_BYTES);
         received > MAX_BUFFERED_BODY_BYTES || (is_long && received >= FIRST_PIECE_BYTES)
     }
 
-    /// Whether the response will be streamed if it is not whole soon.
+    /// Whether the response may exceed the buffered size, and so may have to be streamed.
     pub(super) fn may_stream_response(&self) -> bool {
         self.streamable_response().is_some_and(|response| {
             response
@@ -273,29 +265,28 @@
         })
     }
 
-    /// Until when a response that may have to be streamed is held back from now on.
-    pub(super) fn held_until(&self, now: f64) -> f64 {
+    /// Until when a response that may have to be streamed is buffered.
+    pub(super) fn buffering_deadline(&self, now: f64) -> f64 {
         (now + BUFFERING_LIMIT_MS)
-            .min(self.latest_stream_start())
+            .min(self.latest_streaming_start())
             .max(now)
     }
 
-    /// After that a response is no longer streamed, as its first bytes would come too late.
-    pub(super) fn latest_stream_start(&self) -> f64 {
-        self.deadline - DELIVERY_RESERVE_MS
+    /// The latest time to start streaming: later the first bytes would miss the deadline.
+    pub(super) fn latest_streaming_start(&self) -> f64 {
+        self.deadline - DELIVERY_MARGIN_MS
     }
 
-    /// When a streamed body has stood still for too long. Two cases have less than the common limit, as their
-    /// client waits for something that is lost: a response of unknown length that goes on past its request's
-    /// deadline and may be short, and a request whose client has sent all of it to an endpoint that is cut off and
-    /// takes no more.
-    pub(super) fn stalls_at(&self) -> f64 {
+    /// When a streamed body without progress counts as stalled. Two cases time out before `STALL_TIMEOUT_MS`: a
+    /// request that has been received completely while the endpoint accepts no more data, and a response of unknown
+    /// length that may turn out to be short.
+    pub(super) fn stall_deadline(&self) -> f64 {
         if let RequestState::Streamed(StreamedRequest {
-            rest_received_at: Some(received_at),
+            write_blocked_at: Some(blocked_at),
             ..
         }) = &self.request_state
         {
-            return received_at + self.timeout_ms;
+            return blocked_at + self.timeout_ms;
         }
         self.last_progress_at
             + if self.streams_short_response() {
--- a/proxy/src/upstream/completion.rs
+++ b/proxy/src/upstream/completion.rs
@@ -1,6 +1,6 @@
-//! Completion: an attempt has ended, its connection is kept or closed, and its outcome goes to its callback.
+//! Completion of attempts: keeps or closes the connection and passes the result to the attempt's callback.
 
-use super::{AttemptResponse, BufferedResponse};
+use super::{AttemptCompletion, BufferedResponse};
 use crate::buffers::Buffer;
 use crate::proxy::Proxy;
 use crate::slot_table::UpstreamKey;
@@ -8,8 +8,8 @@
 use crankmux::types::{AttemptOutcome, LoadReport};
 
 impl Proxy {
-    /// Cancels an attempt, unless its response is being streamed to the client already.
-    pub(crate) fn cancel(&mut self, key: UpstreamKey) {
+    /// Cancels an attempt, unless its response is already being streamed to the client.
+    pub(crate) fn cancel_attempt(&mut self, key: UpstreamKey) {
         let attempt = self.upstream.attempt(key);
         if attempt.is_some_and(|attempt| attempt.response_target().is_some()) {
             return;
@@ -17,7 +17,7 @@
         self.fail_attempt(key, AttemptOutcome::Cancelled, LoadReport::default());
     }
 
-    /// Ends an attempt without a response; its connection is closed.
+    /// Ends an attempt without a response and closes its connection.
     pub fn fail_attempt(&mut self, key: UpstreamKey, outcome: AttemptOutcome, load: LoadReport) {
         let now = self.now();
         let endpoint_duration_ms = self
@@ -25,17 +25,18 @@
             .attempt(key)
             .and_then(|attempt| attempt.endpoint_duration_ms(now));
         if let Some(on_complete) = self.close_connection(key) {
-            let response = AttemptResponse {
+            let completion = AttemptCompletion {
                 outcome,
                 load,
-                answer: None,
+                response: None,
                 endpoint_duration_ms,
             };
-            on_complete(self, response);
+            on_complete(self, completion);
         }
     }
 
-    /// The connection, or the response on it, is broken. What the endpoint never had whole it has not run.
+    /// Fails the attempt on a broken connection. An endpoint that did not receive the entire request has not
+    /// processed it, so the outcome is `Unreachable`.
     pub(crate) fn connection_lost(&mut self, key: UpstreamKey) {
         let is_written = self
             .upstream
@@ -49,11 +50,11 @@
         self.fail_attempt(key, outcome, LoadReport::default());
     }
 
-    /// The response has been received whole.
-    pub(super) fn response_received(&mut self, key: UpstreamKey, inbox: Buffer) {
+    /// Completes the attempt with a completely received response.
+    pub(super) fn response_received(&mut self, key: UpstreamKey, read_buffer: Buffer) {
         let now = self.clock.now();
         let Some(attempt) = self.upstream.connections[key].finish_attempt(now) else {
-            return self.buffers.give_back(inbox);
+            return self.buffers.give_back(read_buffer);
         };
         let is_written = attempt.is_written();
         let endpoint_duration_ms = attempt.endpoint_duration_ms(now);
@@ -61,30 +62,29 @@
             self.buffers.give_back(unwritten);
         }
         let Some(response) = attempt.response_state.into_response() else {
-            return self.buffers.give_back(inbox);
+            return self.buffers.give_back(read_buffer);
         };
-        // After a response ahead of its request's end, or with bytes behind it, the next response on this
-        // connection would be read wrongly.
+        // After an early response, or with bytes beyond it, the next response on this connection would be misread.
         let message = response.message;
         let is_reusable =
-            message.keep_alive && is_written && inbox.filled().len() == message.body_end;
+            message.keep_alive && is_written && read_buffer.filled().len() == message.body_end;
         self.keep_or_close(key, is_reusable);
-        let answer = BufferedResponse {
-            buffer: inbox,
+        let buffered = BufferedResponse {
+            buffer: read_buffer,
             message,
         };
         (attempt.on_complete)(
             self,
-            AttemptResponse {
+            AttemptCompletion {
                 outcome: response.outcome,
                 load: response.load,
-                answer: Some(answer),
+                response: Some(buffered),
                 endpoint_duration_ms,
             },
         );
     }
 
-    /// Keeps an idle connection if it may be used again and is still open.
+    /// Keeps an idle connection for reuse, or closes it if it is not reusable or no longer open.
     pub(crate) fn keep_or_close(&mut self, key: UpstreamKey, is_reusable: bool) {
         if is_reusable && is_silent(&self.upstream.connections[key].stream) {
             self.keep_connection(key);
--- a/proxy/src/upstream/connection.rs
+++ b/proxy/src/upstream/connection.rs
@@ -1,4 +1,4 @@
-//! A connection to an endpoint, as the states that it goes through.
+//! A connection to an endpoint and its state machine.
 
 use super::attempt::Attempt;
 use crate::buffers::{Buffer, ReadOutcome};
@@ -7,12 +7,12 @@
 use mio::net::TcpStream;
 use std::net::SocketAddr;
 
-/// One life of an endpoint. After a restart it is another process, also where it has the same address.
+/// A process of an endpoint. A restarted endpoint is another process, even at the same address.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct EndpointProcess {
-    /// Where it listens.
+    /// The address it listens on.
     pub address: SocketAddr,
-    /// When it started, in Unix milliseconds.
+    /// Its start time, in Unix milliseconds.
     pub started_at: f64,
 }
 
@@ -25,34 +25,34 @@
     }
 }
 
-/// What a connection does.
+/// The state of a connection.
 pub enum ConnectionState<P> {
-    /// The TCP handshake is under way, for an attempt that waits for it.
+    /// The TCP handshake is in progress, and the attempt waits for it.
     Connecting(Attempt<P>),
     /// An attempt is in flight.
     Active(Attempt<P>),
-    /// It is kept open for the next attempt.
+    /// The connection is kept open for reuse.
     Idle {
-        /// When the last response had been received.
+        /// When the last response was complete.
         since: f64,
     },
 }
 
-/// A connection to an endpoint, with the attempt that it carries, if any.
+/// A connection to an endpoint, with its attempt if there is one.
 pub struct UpstreamConnection<P> {
     /// The socket.
     pub stream: TcpStream,
     /// The endpoint.
     pub endpoint: EndpointId,
-    /// The process that it was opened to.
+    /// The process that the connection was opened to.
     pub(super) process: EndpointProcess,
-    /// When the attempt times out, or the idle connection is closed.
+    /// The timeout of the attempt or of the idle connection.
     pub timer: Option<TimerKey>,
     state: ConnectionState<P>,
 }
 
 impl<P> UpstreamConnection<P> {
-    /// A connection that is being opened for an attempt.
+    /// Creates a connection that is being established for an attempt.
     pub fn connecting(
         stream: TcpStream,
         endpoint: EndpointId,
@@ -68,12 +68,12 @@
         }
     }
 
-    /// What it does now.
+    /// The current state.
     pub fn state(&self) -> &ConnectionState<P> {
         &self.state
     }
 
-    /// The attempt that it carries, or will carry once it is connected.
+    /// The attempt in flight, or waiting for the handshake.
     pub fn attempt(&self) -> Option<&Attempt<P>> {
         match &self.state {
             ConnectionState::Connecting(attempt) | ConnectionState::Active(attempt) => {
@@ -83,12 +83,12 @@
         }
     }
 
-    /// As `attempt`, to be changed.
+    /// Mutable access to the attempt.
     pub fn attempt_mut(&mut self) -> Option<&mut Attempt<P>> {
         self.stream_and_attempt().map(|(_, attempt)| attempt)
     }
 
-    /// The socket beside the attempt that reads from it or writes to it.
+    /// Mutable access to both the socket and the attempt.
     pub fn stream_and_attempt(&mut self) -> Option<(&mut TcpStream, &mut Attempt<P>)> {
         match &mut self.state {
             ConnectionState::Connecting(attempt) | ConnectionState::Active(attempt) => {
@@ -98,17 +98,17 @@
         }
     }
 
-    /// Whether it is connected.
+    /// Whether the TCP handshake is complete.
     pub fn is_connected(&self) -> bool {
         !matches!(self.state, ConnectionState::Connecting(_))
     }
 
-    /// Whether it carries an attempt of which nothing has been written.
+    /// Whether there is an attempt of which nothing has been written.
     pub fn is_unsent(&self) -> bool {
         self.attempt().is_some_and(Attempt::is_unsent)
     }
 
-    /// Since when it has been idle, if it is.
+    /// When the connection became idle, if it is.
     pub fn idle_since(&self) -> Option<f64> {
         match self.state {
             ConnectionState::Idle { since } => Some(since),
@@ -116,17 +116,17 @@
         }
     }
 
-    /// Idle to active: it carries an attempt from now on.
+    /// Transition from idle to active.
     pub fn start_attempt(&mut self, attempt: Attempt<P>) {
         debug_assert!(
             self.idle_since().is_some(),
-            "a connection carries one attempt"
+            "the connection already has an attempt"
         );
         self.state = ConnectionState::Active(attempt);
     }
 
-    /// Connecting to active: the TCP handshake is done.
-    pub fn connected(&mut self) {
+    /// Transition from connecting to active: the TCP handshake is complete.
+    pub fn finish_handshake(&mut self) {
         let state = std::mem::replace(&mut self.state, ConnectionState::Idle { since: 0.0 });
         self.state = match state {
             ConnectionState::Connecting(attempt) => ConnectionState::Active(attempt),
@@ -134,7 +134,7 @@
         };
     }
 
-    /// Active to idle: takes the attempt out.
+    /// Transition to idle. Returns the attempt.
     pub fn finish_attempt(&mut self, now: f64) -> Option<Attempt<P>> {
         let idle = ConnectionState::Idle { since: now };
         match std::mem::replace(&mut self.state, idle) {
@@ -145,12 +145,12 @@
         }
     }
 
-    /// Reads what has come of a response. An end after a failed write counts as broken.
-    pub fn read_into(&mut self, inbox: &mut Buffer) -> ReadOutcome {
+    /// Reads from the socket. A close after a failed write is reported as a failure.
+    pub fn read_into(&mut self, read_buffer: &mut Buffer) -> ReadOutcome {
         let write_failed = self.attempt().is_some_and(|attempt| attempt.write_failed);
-        match inbox.read_from(&mut self.stream) {
+        match read_buffer.read_from(&mut self.stream) {
             ReadOutcome::Closed if write_failed => ReadOutcome::Failed,
-            filled => filled,
+            read_outcome => read_outcome,
         }
     }
 }
--- a/proxy/src/upstream/connection_pool.rs
+++ b/proxy/src/upstream/connection_pool.rs
@@ -1,4 +1,4 @@
-//! Connections to endpoints: opened, kept while they are idle, and closed.
+//! The pool of connections to endpoints: opens, reuses and closes them.
 
 use super::attempt::Attempt;
 use super::connection::{EndpointProcess, UpstreamConnection};
@@ -14,29 +14,28 @@
 use std::io;
 use std::net::SocketAddr;
 
-/// How long a connection rests after a response. A duplicate of that response, right behind it or some
-/// milliseconds late, would be read as the response to the next attempt. Some come up to ten milliseconds late; at
-/// twice that, the cost of new connections shows.
-const REST_AFTER_RESPONSE_MS: f64 = 10.0;
+/// How long a connection is not reused after a response. A late duplicate of that response would be read as the
+/// response to the next attempt.
+const REUSE_DELAY_MS: f64 = 10.0;
 
-/// The share of the endpoints' keep-alive time for which an idle connection is used. An attempt that is written
-/// while the endpoint closes is lost and may have run; the rest allows for clocks and the way there.
+/// The fraction of the endpoints' keep-alive timeout for which an idle connection is reused. A request sent while
+/// the endpoint closes the connection is lost and may have been processed; the rest covers timer and network delays.
 const KEEPALIVE_SHARE: f64 = 0.75;
 
-/// What is known of the connections to one endpoint.
+/// The state of the connections to one endpoint.
 #[derive(Default)]
 pub struct EndpointConnections {
-    /// Where new connections go; none where the endpoint gets no new attempt.
+    /// The process that new connections are opened to; `None` if the endpoint gets no new attempts.
     process: Option<EndpointProcess>,
-    /// Keys of idle connections, the one used last at the end.
+    /// Keys of idle connections, the most recently used last.
     idle: Vec<UpstreamKey>,
-    /// When a connection was last established, or brought anything.
-    pub(super) last_heard_at: f64,
+    /// When a connection was last established or received data.
+    pub(super) last_activity_at: f64,
 }
 
-/// All connections to endpoints.
+/// The connections to all endpoints.
 pub struct Upstreams<P> {
-    /// The connections, by key.
+    /// The connections.
     pub connections: SlotTable<UpstreamKey, UpstreamConnection<P>>,
     pub(super) endpoints: Vec<EndpointConnections>,
     pub(super) connect_timeout_ms: f64,
@@ -44,7 +43,7 @@
 }
 
 impl<P> Upstreams<P> {
-    /// A table for so many connections.
+    /// Creates an empty pool of at most `max_connections`.
     pub fn new(max_connections: usize, connect_timeout_ms: f64, keepalive_ms: f64) -> Self {
         Upstreams {
             connections: SlotTable::new(max_connections),
@@ -54,14 +53,13 @@
         }
     }
 
-    /// Changes the time for connecting, and the time for which endpoints keep idle connections open, for
-    /// connections that are used from now on.
+    /// Changes the connect timeout and the endpoints' keep-alive timeout. Timers already set keep their time.
     pub fn set_timeouts(&mut self, connect_timeout_ms: f64, keepalive_ms: f64) {
         self.connect_timeout_ms = connect_timeout_ms;
         self.idle_timeout_ms = KEEPALIVE_SHARE * keepalive_ms;
     }
 
-    /// Whether a connection has written all that has come of a client's request, and waits for more.
+    /// Whether a connection has written everything received of a client's request and waits for more.
     pub fn awaits_request_body(
         &self,
         connection: Option<UpstreamKey>,
@@ -78,42 +76,42 @@
             })
     }
 
-    /// The attempt that a connection carries.
+    /// The attempt on a connection.
     pub fn attempt(&self, connection: UpstreamKey) -> Option<&Attempt<P>> {
         self.connections.get(connection)?.attempt()
     }
 
-    /// The same, to be changed.
+    /// Mutable access to the attempt on a connection.
     pub fn attempt_mut(&mut self, connection: UpstreamKey) -> Option<&mut Attempt<P>> {
         self.connections.get_mut(connection)?.attempt_mut()
     }
 
-    /// Whether a connection may be opened without closing one that an attempt might use.
-    pub fn has_room(&self) -> bool {
+    /// Whether a connection can be opened without closing an idle one.
+    pub fn has_free_slot(&self) -> bool {
         !self.connections.is_full()
     }
 
-    /// The number of connections, and of those that are idle.
+    /// The numbers of all connections and of idle ones.
     pub fn connection_counts(&self) -> (usize, usize) {
         let idle = self.endpoints.iter().map(|endpoint| endpoint.idle.len());
         (self.connections.len(), idle.sum())
     }
 
-    /// All endpoints met.
+    /// The ids of all endpoints seen so far.
     pub fn endpoint_ids(&self) -> impl Iterator<Item = EndpointId> {
         (0..self.endpoints.len()).map(EndpointId::new)
     }
 
-    /// Whether any endpoint may get new attempts.
+    /// Whether any endpoint can get new attempts.
     pub fn any_available(&self) -> bool {
         self.endpoints
             .iter()
             .any(|endpoint| endpoint.process.is_some())
     }
 
-    /// A connection to an endpoint has been established, or has brought something.
-    pub(crate) fn note_heard(&mut self, endpoint: EndpointId, now: f64) {
-        self.endpoints[endpoint.index()].last_heard_at = now;
+    /// Records that a connection to an endpoint was established or received data.
+    pub(crate) fn record_activity(&mut self, endpoint: EndpointId, now: f64) {
+        self.endpoints[endpoint.index()].last_activity_at = now;
     }
 
     fn remove_idle(&mut self, endpoint: EndpointId, key: UpstreamKey) {
@@ -124,7 +122,7 @@
 }
 
 impl Proxy {
-    /// What the endpoint list says of an endpoint: its address and start, or that it gets no new attempt.
+    /// Sets the process of an endpoint, by its address and start time; `None` if it gets no new attempts.
     pub fn update_endpoint_process(
         &mut self,
         endpoint: EndpointId,
@@ -137,54 +135,53 @@
         }
         if endpoints[endpoint.index()].process != process {
             endpoints[endpoint.index()].process = process;
-            // Connections to a process that is no more may stay open and silent.
+            // A connection to a process that has died may stay open without a reset.
             self.close_idle_connections(endpoint);
         }
     }
 
-    /// Once all of a list is applied: attempts of which nothing is written leave endpoints that have changed. A
-    /// connection that is established only after that would carry a new attempt past the grace of a drain.
+    /// Fails attempts of which nothing has been written if the process of their endpoint has changed. Otherwise a
+    /// connection established later could send a request to a draining endpoint after its drain period.
     pub fn withdraw_unsent_attempts(&mut self) {
         let endpoints = &self.upstream.endpoints;
-        let outdated = |connection: &UpstreamConnection<Proxy>| {
+        let is_outdated = |connection: &UpstreamConnection<Proxy>| {
             connection.is_unsent()
                 && endpoints[connection.endpoint.index()].process != Some(connection.process)
         };
-        for key in self.upstream.connections.keys_where(outdated) {
+        for key in self.upstream.connections.keys_where(is_outdated) {
             self.fail_attempt(key, AttemptOutcome::Unreachable, LoadReport::default());
         }
     }
 
-    /// Takes the idle connection that was used last, so that others may be closed, but none that has only just
-    /// brought its response.
+    /// Takes the most recently used idle connection past the reuse delay, so that the others can expire.
     pub(super) fn take_idle_connection(&mut self, endpoint: EndpointId) -> Option<UpstreamKey> {
         let now = self.now();
         loop {
             let idle = &mut self.upstream.endpoints.get_mut(endpoint.index())?.idle;
             let connections = &self.upstream.connections;
-            let has_rested = |key: &UpstreamKey| {
+            let is_past_reuse_delay = |key: &UpstreamKey| {
                 connections[*key]
                     .idle_since()
-                    .is_some_and(|since| now - since >= REST_AFTER_RESPONSE_MS)
+                    .is_some_and(|since| now - since >= REUSE_DELAY_MS)
             };
-            let key = idle.remove(idle.iter().rposition(has_rested)?);
+            let key = idle.remove(idle.iter().rposition(is_past_reuse_delay)?);
             let connection = &mut self.upstream.connections[key];
             self.timers.cancel(connection.timer.take());
             if is_silent(&connection.stream) {
                 return Some(key);
             }
-            // The endpoint has closed it meanwhile, or sent bytes that belong to no attempt.
+            // The endpoint has closed the connection, or sent bytes that belong to no attempt.
             self.close_connection(key);
         }
     }
 
-    /// Starts to connect to an endpoint. Returns the key that the connection will have, with its socket.
-    pub(super) fn connect(
+    /// Starts to connect to an endpoint. Returns the key reserved for the connection, and its socket.
+    pub(super) fn open_connection(
         &mut self,
         endpoint: EndpointId,
     ) -> Result<(UpstreamKey, TcpStream, EndpointProcess), AttemptOutcome> {
-        if !self.upstream.has_room() && !self.close_longest_idle_upstream() {
-            // Nothing was sent, and the request is free to go elsewhere.
+        if !self.upstream.has_free_slot() && !self.close_longest_idle_upstream() {
+            // Nothing was sent, so the request can be retried elsewhere.
             self.counters.capacity_exhausted += 1;
             return Err(AttemptOutcome::NotSent);
         }
@@ -196,7 +193,7 @@
             .ok_or(AttemptOutcome::Unreachable)?;
         self.counters.connections_opened += 1;
         let opened = self.open_reserved(DescriptorPurpose::Attempt, |proxy| {
-            // Taken only now: connections that are closed to make room free keys of this table.
+            // Read only here: `open_reserved` may close connections, which changes the vacant key.
             let key = proxy.upstream.connections.vacant_key();
             let stream = proxy.open_socket(process, key)?;
             Ok((key, stream))
@@ -208,7 +205,7 @@
         if is_unreachable(&error) {
             return Err(AttemptOutcome::Unreachable);
         }
-        // What this machine lacks, such as descriptors, is not held against the endpoint.
+        // A local failure, such as a lack of descriptors, says nothing about the endpoint.
         if !is_out_of_descriptors(&error) {
             log::warn!("cannot connect to {}: {error}", process.address);
         }
@@ -224,15 +221,12 @@
             Interest::READABLE | Interest::WRITABLE,
         )?;
         if let Err(error) = stream.set_nodelay(true) {
-            log::debug!(
-                "small packets to {} may be delayed: {error}",
-                process.address
-            );
+            log::debug!("cannot set TCP_NODELAY for {}: {error}", process.address);
         }
         Ok(stream)
     }
 
-    /// Closes the connection that has been idle longest; returns whether there was one.
+    /// Closes the longest idle connection; returns whether there was one.
     pub fn close_longest_idle_upstream(&mut self) -> bool {
         let longest_idle = self
             .upstream
@@ -263,8 +257,8 @@
         self.close_connection(key);
     }
 
-    /// Closes a connection and returns the callback of the attempt that it carried. This is the only place where a
-    /// connection to an endpoint and its buffers are given back.
+    /// Closes a connection and returns the callback of its attempt. All connections to endpoints are closed here, so
+    /// that their slots, buffers and descriptors are released.
     pub(super) fn close_connection(
         &mut self,
         key: UpstreamKey,
@@ -276,17 +270,17 @@
             .as_ref()
             .and_then(|attempt| attempt.response_target())
         {
-            // Its client is cut off and can tell: a response that stops short could be taken for a whole one.
+            // The client must be able to detect the truncated response.
             self.drop_downstream(client);
         }
         if let Err(error) = self.registry.deregister(&mut connection.stream) {
-            log::debug!("a connection to an endpoint was not watched: {error}");
+            log::debug!("cannot deregister a connection to an endpoint: {error}");
         }
         self.timers.cancel(connection.timer);
         drop(connection.stream);
         self.replenish_reserve_of(DescriptorPurpose::Attempt);
         let attempt = attempt?;
-        for buffer in [attempt.request_state.into_buffer(), attempt.inbox] {
+        for buffer in [attempt.request_state.into_buffer(), attempt.read_buffer] {
             buffer
                 .into_iter()
                 .for_each(|buffer| self.buffers.give_back(buffer));
@@ -294,7 +288,7 @@
         Some(attempt.on_complete)
     }
 
-    /// Keeps an idle connection for the next attempt, unless its endpoint has changed since it was opened.
+    /// Keeps an idle connection for reuse, unless the process of its endpoint has changed.
     pub(super) fn keep_connection(&mut self, key: UpstreamKey) {
         let connection = &mut self.upstream.connections[key];
         let endpoint = connection.endpoint;
@@ -310,7 +304,7 @@
     }
 }
 
-/// Whether the endpoint, and not this machine, is why a connection cannot be opened.
+/// Whether a connect error is caused by the endpoint or the network, not by this machine.
 fn is_unreachable(error: &io::Error) -> bool {
     matches!(
         error.kind(),
--- a/proxy/src/upstream/mod.rs
+++ b/proxy/src/upstream/mod.rs
@@ -1,10 +1,10 @@
-//! Connections to endpoints, and the attempts that they carry.
+//! Connections to endpoints and the attempts sent over them.
 //!
-//! `connection`, `attempt`, `request_state` and `response_state` are the types, as states with their transitions;
-//! `response` reads what an endpoint answers. Around them stands what the proxy does: `connection_pool` opens, keeps and closes connections,
-//! `sending` writes a request, `receiving` reads its response, `timeouts` ends what takes too long, and
-//! `completion` hands the outcome to whoever started the attempt. `load_probes` are attempts that only ask an
-//! endpoint for its load.
+//! `connection`, `attempt`, `request_state` and `response_state` define the state machines; `response` parses
+//! response heads and load reports. The other modules implement [`Proxy`](crate::proxy::Proxy): `connection_pool`
+//! opens, reuses and closes connections, `sending` writes requests, `receiving` reads responses, `timeouts` enforces
+//! deadlines and stall timeouts, `completion` passes the outcome to the attempt's callback, and `load_probes` asks
+//! endpoints for load reports.
 
 mod attempt;
 mod completion;
@@ -18,7 +18,7 @@
 mod sending;
 mod timeouts;
 
-pub use attempt::{Attempt, AttemptResponse, BufferedResponse, CompletionCallback};
+pub use attempt::{Attempt, AttemptCompletion, BufferedResponse, CompletionCallback};
 pub use connection::{ConnectionState, EndpointProcess, UpstreamConnection};
 pub use connection_pool::{EndpointConnections, Upstreams};
 pub use request_state::{PendingWrite, RequestState, StreamedRequest};
--- a/proxy/src/upstream/receiving.rs
+++ b/proxy/src/upstream/receiving.rs
@@ -1,4 +1,4 @@
-//! Receiving: the response of an attempt is read, and either held until it is whole or streamed to its client.
+//! Receiving responses: a response is buffered until it is complete, or streamed to the client.
 
 use super::response::log_excerpt;
 use super::{Response, ResponseState};
@@ -8,24 +8,24 @@
 use crate::streaming::FIRST_PIECE_BYTES;
 use crankmux::types::{AttemptOutcome, LoadReport};
 
-/// What is to be done after a read.
+/// What to do after a read.
 enum ReadStep {
     /// The response is complete.
     Complete(Buffer),
-    /// The response is too long to be held, and goes to its client in pieces.
+    /// The response exceeds the buffered size and is to be streamed to the client.
     Stream(Buffer),
-    /// The attempt has ended with this outcome; the rest of the response is of no interest.
+    /// The attempt has this outcome; the rest of the response is not read.
     Ended(AttemptOutcome, LoadReport),
     /// The connection or the response is broken.
     Broken,
-    /// There is nothing more to be read for now.
+    /// No more data is available now.
     Wait,
-    /// There may be more to be read.
+    /// More data may be available.
     Continue,
 }
 
 impl Proxy {
-    /// Reads what has come of a response.
+    /// Reads the available part of a response.
     pub(super) fn read_response(&mut self, key: UpstreamKey) {
         let attempt = self.upstream.connections[key].attempt();
         if attempt.is_some_and(|attempt| attempt.response_target().is_some()) {
@@ -35,9 +35,9 @@
             match self.read_once(key) {
                 ReadStep::Continue => {}
                 ReadStep::Wait => return,
-                ReadStep::Complete(inbox) => return self.response_received(key, inbox),
-                ReadStep::Stream(inbox) => {
-                    self.begin_response_stream(key, inbox);
+                ReadStep::Complete(read_buffer) => return self.response_received(key, read_buffer),
+                ReadStep::Stream(read_buffer) => {
+                    self.begin_response_stream(key, read_buffer);
                     return self.stream_response_body(key);
                 }
                 ReadStep::Ended(outcome, load) => return self.fail_attempt(key, outcome, load),
@@ -49,131 +49,133 @@
     fn read_once(&mut self, key: UpstreamKey) -> ReadStep {
         let connection = &mut self.upstream.connections[key];
         let endpoint = connection.endpoint;
-        let inbox = connection
+        let read_buffer = connection
             .attempt_mut()
-            .and_then(|attempt| attempt.inbox.take());
-        let Some(mut inbox) = inbox.or_else(|| self.buffers.take_reserved()) else {
-            // The response is lost; the request may have run.
+            .and_then(|attempt| attempt.read_buffer.take());
+        let Some(mut read_buffer) = read_buffer.or_else(|| self.buffers.take_reserved()) else {
+            // The response is lost, but the endpoint may have processed the request.
             self.counters.capacity_exhausted += 1;
             return ReadStep::Ended(AttemptOutcome::ConnectionLost, LoadReport::default());
         };
-        let filled = connection.read_into(&mut inbox);
-        if filled == ReadOutcome::Received {
-            self.upstream.note_heard(endpoint, self.clock.now());
+        let read_outcome = connection.read_into(&mut read_buffer);
+        if read_outcome == ReadOutcome::Received {
+            self.upstream.record_activity(endpoint, self.clock.now());
         }
-        self.handle_received(key, inbox, filled)
+        self.handle_received(key, read_buffer, read_outcome)
     }
 
-    /// Decides what is to be done with what has been received so far.
     fn handle_received(
         &mut self,
         key: UpstreamKey,
-        mut inbox: Buffer,
-        filled: ReadOutcome,
+        mut read_buffer: Buffer,
+        read_outcome: ReadOutcome,
     ) -> ReadStep {
         let connection = &mut self.upstream.connections[key];
         let endpoint = connection.endpoint;
         let Some(attempt) = connection.attempt_mut() else {
-            self.buffers.give_back(inbox);
+            self.buffers.give_back(read_buffer);
             return ReadStep::Wait;
         };
-        let is_complete = match attempt.read_response(&mut inbox) {
+        let is_complete = match attempt.read_response(&mut read_buffer) {
             Ok(is_complete) => is_complete,
-            Err(status) => {
+            Err(error) => {
                 log::debug!(
-                    "endpoint {endpoint}: a response that cannot be read ({status}): {}",
-                    log_excerpt(&inbox)
+                    "endpoint {endpoint}: malformed response ({error}): {}",
+                    log_excerpt(&read_buffer)
                 );
-                attempt.inbox = Some(inbox);
+                attempt.read_buffer = Some(read_buffer);
                 return ReadStep::Broken;
             }
         };
         let response = attempt.response_state.response();
-        let ends_here = response.is_some_and(|response| response.message.ends_at_close());
-        if is_complete || (filled == ReadOutcome::Closed && ends_here) {
-            return ReadStep::Complete(inbox);
+        let ends_at_close = response.is_some_and(|response| response.message.ends_at_close());
+        if is_complete || (read_outcome == ReadOutcome::Closed && ends_at_close) {
+            return ReadStep::Complete(read_buffer);
         }
-        if attempt.must_stream_response(&inbox) {
+        if attempt.must_stream_response(&read_buffer) {
             if attempt.request.is_some() {
-                return ReadStep::Stream(inbox);
+                return ReadStep::Stream(read_buffer);
             }
-            // No load report is so long, and no client waits for it.
-            attempt.inbox = Some(inbox);
+            // Load probes have no client to stream to, and no load report is this long.
+            attempt.read_buffer = Some(read_buffer);
             return ReadStep::Broken;
         }
-        if let Some((outcome, load)) = response.and_then(refusal_with_long_body) {
-            attempt.inbox = Some(inbox);
+        if let Some((outcome, load)) = response.and_then(long_error_response) {
+            attempt.read_buffer = Some(read_buffer);
             return ReadStep::Ended(outcome, load);
         }
-        self.hold_back(key, inbox);
-        match filled {
+        self.buffer_partial_response(key, read_buffer);
+        match read_outcome {
             ReadOutcome::Received => ReadStep::Continue,
             ReadOutcome::WouldBlock => ReadStep::Wait,
             ReadOutcome::Closed | ReadOutcome::Failed | ReadOutcome::BufferFull => ReadStep::Broken,
         }
     }
 
-    /// Keeps what has come of a response that is not whole. One that may have to be streamed is looked at again.
-    fn hold_back(&mut self, key: UpstreamKey, inbox: Buffer) {
+    /// Keeps the received part of an incomplete response. If it may have to be streamed, a timer bounds the
+    /// buffering.
+    fn buffer_partial_response(&mut self, key: UpstreamKey, read_buffer: Buffer) {
         let now = self.clock.now();
         let Some(attempt) = self.upstream.connections[key].attempt_mut() else {
-            return self.buffers.give_back(inbox);
+            return self.buffers.give_back(read_buffer);
         };
         if attempt.request.is_some() && attempt.may_stream_response() {
-            let at = attempt.held_until(now);
-            if let ResponseState::Buffering { held_since, .. } = &mut attempt.response_state {
-                if held_since.is_none() {
-                    *held_since = Some(now);
+            let at = attempt.buffering_deadline(now);
+            if let ResponseState::Buffering {
+                buffering_since, ..
+            } = &mut attempt.response_state
+            {
+                if buffering_since.is_none() {
+                    *buffering_since = Some(now);
                     self.timers.set(at, move |proxy: &mut Proxy| {
-                        proxy.held_back_long_enough(key, now)
+                        proxy.buffering_timeout(key, now)
                     });
                 }
             }
         }
-        if inbox.filled().is_empty() {
-            self.buffers.give_back(inbox);
+        if read_buffer.filled().is_empty() {
+            self.buffers.give_back(read_buffer);
         } else {
-            attempt.inbox = Some(inbox);
+            attempt.read_buffer = Some(read_buffer);
         }
     }
 
-    /// A response has been held back for as long as it may be since a time. A long one of unknown length whose
-    /// endpoint pauses would otherwise be held back from a client that waits, or be cut off at the deadline though
-    /// it comes. One that has brought little is no long one yet: it may take until the deadline, and as long as
-    /// nothing of it has gone to the client the request may be retried.
-    fn held_back_long_enough(&mut self, key: UpstreamKey, since: f64) {
+    /// Starts to stream a response that has been buffered for too long since `since`. Otherwise a client would wait
+    /// for a long response whose endpoint pauses, and lose it at the deadline. A response of unknown length of which
+    /// little has been received stays buffered, as its request can still be retried.
+    fn buffering_timeout(&mut self, key: UpstreamKey, since: f64) {
         let now = self.clock.now();
         let Some(attempt) = self.upstream.attempt_mut(key) else {
             return;
         };
         let ResponseState::Buffering {
             response,
-            held_since: Some(held_since),
+            buffering_since: Some(buffering_since),
         } = &attempt.response_state
         else {
             return;
         };
-        if *held_since != since {
+        if *buffering_since != since {
             return;
         }
-        let tells_length = response.message.body_length().is_some();
+        let has_known_length = response.message.body_length().is_some();
         let ready = attempt
-            .inbox
-            .take_if(|inbox| tells_length || inbox.filled().len() >= FIRST_PIECE_BYTES);
-        if let Some(inbox) = ready {
-            self.begin_response_stream(key, inbox);
+            .read_buffer
+            .take_if(|buffer| has_known_length || buffer.filled().len() >= FIRST_PIECE_BYTES);
+        if let Some(read_buffer) = ready {
+            self.begin_response_stream(key, read_buffer);
             self.stream_response_body(key);
-        } else if now < attempt.latest_stream_start() {
-            let at = attempt.held_until(now);
+        } else if now < attempt.latest_streaming_start() {
+            let at = attempt.buffering_deadline(now);
             self.timers.set(at, move |proxy: &mut Proxy| {
-                proxy.held_back_long_enough(key, since)
+                proxy.buffering_timeout(key, since)
             });
         }
     }
 }
 
-/// A refusal needs no long body: its head has said it.
-fn refusal_with_long_body(response: &Response) -> Option<(AttemptOutcome, LoadReport)> {
+/// The outcome of an unsuccessful response with a long body, which is not read: the head determines the outcome.
+fn long_error_response(response: &Response) -> Option<(AttemptOutcome, LoadReport)> {
     let Response {
         message,
         outcome,
--- a/proxy/src/upstream/request_state.rs
+++ b/proxy/src/upstream/request_state.rs
@@ -1,20 +1,20 @@
-//! How far the request of an attempt is written.
+//! Progress of writing the request of an attempt.
 
 use crate::buffers::Buffer;
 use crate::slot_table::DownstreamKey;
 use mio::net::TcpStream;
 use std::io;
 
-/// Bytes of a request that are still to be written.
+/// Bytes of a request that have not been written completely.
 pub struct PendingWrite {
     buffer: Buffer,
     written: usize,
-    /// Whether any byte of the request has been written, also of earlier pieces.
+    /// Whether any byte of the request has been written, including earlier pieces.
     started: bool,
 }
 
 impl PendingWrite {
-    /// Starts with a buffer of which nothing is written yet.
+    /// Creates a pending write of the whole buffer.
     pub fn new(buffer: Buffer) -> Self {
         PendingWrite {
             buffer,
@@ -23,59 +23,55 @@
         }
     }
 
-    /// Writes as much as the socket takes; returns whether all has been written.
+    /// Writes as much as the socket accepts; returns whether everything has been written.
     pub(super) fn write_to(&mut self, stream: &mut TcpStream) -> io::Result<bool> {
         let result = self.buffer.write_to(&mut self.written, stream);
         self.started |= self.written > 0;
         result
     }
 
-    /// Makes room for the next piece, once all has been written; returns the empty buffer.
+    /// Removes the written bytes and returns the buffer for the next piece.
     pub(super) fn clear(&mut self) -> &mut Buffer {
         self.buffer.remove(0..self.written);
         self.written = 0;
         &mut self.buffer
     }
 
-    /// Whether any byte of the request has been written.
     pub(super) fn is_started(&self) -> bool {
         self.started
     }
 
-    /// Whether all that has come of the request is written.
     pub(super) fn is_empty(&self) -> bool {
         self.buffer.filled().is_empty()
     }
 }
 
-/// A request that is too long for one buffer.
+/// A request that exceeds one buffer.
 pub struct StreamedRequest {
-    /// The piece that is being written.
+    /// The piece being written.
     pub pending: PendingWrite,
-    /// The client that the next piece comes from; none once the last piece is pending.
+    /// The client that sends the next piece; `None` once the last piece is pending.
     pub source: Option<DownstreamKey>,
-    /// Whether the body goes on in chunks.
+    /// Whether the body is forwarded with chunked encoding.
     pub chunked: bool,
-    /// Since when the rest of the request has lain here while the endpoint took no more: its client has sent the
-    /// last byte.
-    pub rest_received_at: Option<f64>,
+    /// When a write first blocked after the client had sent the entire request.
+    pub write_blocked_at: Option<f64>,
 }
 
-/// How far the request of an attempt is written.
+/// Progress of writing the request of an attempt.
 pub enum RequestState {
-    /// The whole request is in one buffer, and being written.
+    /// The entire request is in one buffer that is being written.
     Buffered(PendingWrite),
-    /// It is written in pieces, each read from the client once the piece before has been written.
+    /// The request is written in pieces; each is read from the client after the previous one has been written.
     Streamed(StreamedRequest),
-    /// It is written whole.
+    /// The request is completely written.
     Written {
-        /// When its last byte left, if it was streamed.
+        /// When the last byte was written, if the request was streamed.
         streamed_at: Option<f64>,
     },
 }
 
 impl RequestState {
-    /// What is still to be written.
     pub(super) fn pending(&self) -> Option<&PendingWrite> {
         match self {
             RequestState::Buffered(pending) => Some(pending),
@@ -84,7 +80,7 @@
         }
     }
 
-    /// The buffer of what is still to be written.
+    /// Returns the buffer of the pending write.
     pub fn into_buffer(self) -> Option<Buffer> {
         match self {
             RequestState::Buffered(pending) => Some(pending.buffer),
--- a/proxy/src/upstream/response.rs
+++ b/proxy/src/upstream/response.rs
@@ -1,4 +1,4 @@
-//! What an endpoint answers: its status, whether it has run the request, and the load that it reports.
+//! Endpoint responses: the outcome that the status stands for, and the reported load.
 
 use crate::buffers::{Buffer, MAX_BODY_BYTES};
 use crate::http::{self, Message, ParseError};
@@ -6,23 +6,23 @@
 use crankmux::types::{AttemptOutcome, LoadReport};
 use httparse::Header;
 
-/// How much of a message the log shows.
-const EXCERPT_BYTES: usize = 120;
-/// The first status that is final; those below only announce another response.
+/// Length limit of a message excerpt in the log.
+const MAX_EXCERPT_BYTES: usize = 120;
+/// Lower statuses are interim responses (RFC 9110, section 15.2).
 const FIRST_FINAL_STATUS: u16 = 200;
 
 /// A response whose head has been received.
 pub struct Response {
-    /// Where its head and body end in the buffer.
+    /// The positions of head and body in the buffer.
     pub message: Message,
-    /// What its status says of the attempt.
+    /// The outcome that the status stands for.
     pub outcome: AttemptOutcome,
-    /// The load that the endpoint reported with it.
+    /// The load that the endpoint reported in the head.
     pub load: LoadReport,
 }
 
-/// Reads a load report of the form `name=value, ...`; what is no figure of one is passed over.
-pub(super) fn read_load(text: &str, load: &mut LoadReport) {
+/// Parses a load report of the form `name=value, ...`; unknown names and invalid values are ignored.
+pub(super) fn parse_load_report(text: &str, load: &mut LoadReport) {
     for part in text.trim().trim_start_matches("TEXT").split(',') {
         let Some((name, value)) = part.split_once('=') else {
             continue;
@@ -33,17 +33,17 @@
     }
 }
 
-/// How a message starts, for the log.
-pub fn log_excerpt(inbox: &Buffer) -> String {
-    inbox
+/// The escaped first bytes of a message, for the log.
+pub fn log_excerpt(buffer: &Buffer) -> String {
+    buffer
         .filled()
         .iter()
-        .take(EXCERPT_BYTES)
+        .take(MAX_EXCERPT_BYTES)
         .map(|byte| std::ascii::escape_default(*byte).to_string())
         .collect()
 }
 
-fn outcome_of(status: u16, headers: &[Header]) -> AttemptOutcome {
+fn status_outcome(status: u16, headers: &[Header]) -> AttemptOutcome {
     let not_processed = http::header_value(headers, "x-not-processed") == Some("1");
     match status {
         200 => AttemptOutcome::Succeeded,
@@ -52,19 +52,23 @@
     }
 }
 
-fn reported_load(headers: &[Header]) -> LoadReport {
+fn load_report(headers: &[Header]) -> LoadReport {
     let mut load = LoadReport::default();
     if let Some(text) = http::header_value(headers, "x-server-load") {
-        read_load(text, &mut load);
+        parse_load_report(text, &mut load);
     }
     load
 }
 
-/// Reads the head of a response, past those that only announce another one; none until the head is whole.
-pub(super) fn read_response(inbox: &mut Buffer) -> Result<Option<Response>, ParseError> {
+/// Parses the head of the final response and removes interim responses; `None` until the head is complete.
+pub(super) fn parse_response(buffer: &mut Buffer) -> Result<Option<Response>, ParseError> {
     loop {
-        let head = http::parse_response(inbox.filled(), MAX_BODY_BYTES, |status, headers| {
-            (status, outcome_of(status, headers), reported_load(headers))
+        let head = http::parse_response(buffer.filled(), MAX_BODY_BYTES, |status, headers| {
+            (
+                status,
+                status_outcome(status, headers),
+                load_report(headers),
+            )
         })?;
         let Some((message, (status, outcome, load))) = head else {
             return Ok(None);
@@ -76,6 +80,6 @@
                 load,
             }));
         }
-        inbox.remove(0..message.body_start);
+        buffer.remove(0..message.body_start);
     }
 }
--- a/proxy/src/upstream/response_state.rs
+++ b/proxy/src/upstream/response_state.rs
@@ -1,34 +1,34 @@
-//! How far the response of an attempt is read.
+//! Progress of reading the response of an attempt.
 
 use super::response::Response;
 use crate::slot_table::DownstreamKey;
 
-/// How far the response of an attempt is read.
+/// Progress of reading the response of an attempt.
 pub enum ResponseState {
-    /// Its head has not been received whole.
+    /// The head has not been received completely.
     AwaitingHead,
-    /// Its body is being received, and held back from the client.
+    /// The body is being received and buffered.
     Buffering {
-        /// Its head, and where its body ends.
+        /// The response received so far.
         response: Response,
-        /// Since when a response that may have to be streamed has waited to be whole.
-        held_since: Option<f64>,
+        /// Since when a response that may have to be streamed has been buffered.
+        buffering_since: Option<f64>,
     },
-    /// Its body is being streamed to the client.
+    /// The body is being streamed to the client.
     Streaming {
-        /// Its head, and where its body ends.
+        /// The response received so far.
         response: Response,
         /// The client.
         client: DownstreamKey,
-        /// Whether the body goes on in chunks.
+        /// Whether the body is forwarded with chunked encoding.
         chunked: bool,
-        /// When the first piece went to the client.
+        /// When the first piece was sent to the client.
         started_at: f64,
     },
 }
 
 impl ResponseState {
-    /// What has been received of the response, once its head is whole.
+    /// The response received so far; `None` until its head is complete.
     pub fn response(&self) -> Option<&Response> {
         match self {
             ResponseState::AwaitingHead => None,
@@ -37,7 +37,7 @@
         }
     }
 
-    /// As `response`, to be changed.
+    /// Mutable access to the response received so far.
     pub fn response_mut(&mut self) -> Option<&mut Response> {
         match self {
             ResponseState::AwaitingHead => None,
@@ -46,7 +46,7 @@
         }
     }
 
-    /// What has been received of the response.
+    /// Returns the response received so far.
     pub fn into_response(self) -> Option<Response> {
         match self {
             ResponseState::AwaitingHead => None,
--- a/proxy/src/upstream/sending.rs
+++ b/proxy/src/upstream/sending.rs
@@ -1,4 +1,4 @@
-//! Sending: an attempt is given a connection, and its request is written.
+//! Sending requests: assigns attempts to connections and writes their requests.
 
 use super::attempt::Attempt;
 use super::connection::{ConnectionState, UpstreamConnection};
@@ -11,12 +11,12 @@
 use crankmux::types::{AttemptOutcome, EndpointId, LoadReport, RequestId};
 
 impl Proxy {
-    /// Sends a request to an endpoint, as its client gave it. Returns the key of the connection.
+    /// Forwards a client's request to an endpoint. Returns the key of the connection.
     ///
     /// # Errors
     ///
-    /// Returns the outcome of an attempt that cannot even be started; its callback is not called.
-    pub fn send(
+    /// Returns the outcome if the attempt cannot be started; `on_complete` is not called then.
+    pub fn send_attempt(
         &mut self,
         request: RequestId,
         client: DownstreamKey,
@@ -24,18 +24,18 @@
         timeout_ms: f64,
         on_complete: CompletionCallback<Proxy>,
     ) -> Result<UpstreamKey, AttemptOutcome> {
-        let Some(mut outbox) = self.buffers.take() else {
+        let Some(mut write_buffer) = self.buffers.take() else {
             self.counters.capacity_exhausted += 1;
             return Err(AttemptOutcome::NotSent);
         };
         let client_request = self.downstream.request(client);
-        let Some((_, message)) = client_request
-            .filter(|(held, message)| http::write_request(held, message, timeout_ms, &mut outbox))
-        else {
-            self.buffers.give_back(outbox);
+        let Some((_, message)) = client_request.filter(|(bytes, message)| {
+            http::write_request(bytes, message, timeout_ms, &mut write_buffer)
+        }) else {
+            self.buffers.give_back(write_buffer);
             return Err(AttemptOutcome::NotSent);
         };
-        let pending = PendingWrite::new(outbox);
+        let pending = PendingWrite::new(write_buffer);
         if message.is_complete() {
             let state = RequestState::Buffered(pending);
             return self.send_request(Some(request), endpoint, state, timeout_ms, on_complete);
@@ -44,14 +44,14 @@
             pending,
             source: Some(client),
             chunked: message.body_length().is_none(),
-            rest_received_at: None,
+            write_blocked_at: None,
         });
         let key = self.send_request(Some(request), endpoint, state, timeout_ms, on_complete)?;
         self.downstream.stream_request_to(client, key);
         Ok(key)
     }
 
-    /// Sends a request, or a load probe, to an endpoint on an idle connection or a new one.
+    /// Sends a request or a load probe on an idle connection or a new one.
     pub(super) fn send_request(
         &mut self,
         request: Option<RequestId>,
@@ -68,7 +68,7 @@
             self.writable_upstream.push(key);
             return Ok(key);
         }
-        let (key, stream, process) = match self.connect(endpoint) {
+        let (key, stream, process) = match self.open_connection(endpoint) {
             Ok(connecting) => connecting,
             Err(outcome) => {
                 let buffer = state.into_buffer();
@@ -87,14 +87,14 @@
         Ok(key)
     }
 
-    /// A connection to an endpoint can be read or written, or has ended.
+    /// Handles an event of a connection to an endpoint.
     pub(crate) fn upstream_event(&mut self, key: UpstreamKey) {
         let Some(connection) = self.upstream.connections.get(key) else {
             return;
         };
         match connection.state() {
             ConnectionState::Idle { .. } => {
-                // The endpoint has closed it, or speaks out of turn.
+                // The endpoint has closed the connection, or sent bytes that belong to no attempt.
                 if !is_silent(&connection.stream) {
                     self.close_idle_connection(key);
                 }
@@ -117,7 +117,7 @@
         }
     }
 
-    /// Whether the connection is established. One that could not be is closed.
+    /// Returns whether the connection is established; closes it if connecting failed.
     fn finish_connecting(&mut self, key: UpstreamKey) -> bool {
         let connection = &mut self.upstream.connections[key];
         if !matches!(connection.stream.take_error(), Ok(None)) {
@@ -125,17 +125,16 @@
             return false;
         }
         if connection.stream.peer_addr().is_err() {
-            // The handshake is still under way.
+            // The handshake is still in progress.
             return false;
         }
-        connection.connected();
+        connection.finish_handshake();
         let endpoint = connection.endpoint;
-        self.upstream.note_heard(endpoint, self.clock.now());
+        self.upstream.record_activity(endpoint, self.clock.now());
         true
     }
 
-    /// Whether nothing is written, and nothing may be any more: the connection was established, or looked at, only
-    /// after the deadline.
+    /// Whether the deadline has passed before any byte of the request was written.
     fn is_unsent_past_deadline(&self, key: UpstreamKey) -> bool {
         let Some(attempt) = self.upstream.connections[key].attempt() else {
             return false;
@@ -143,7 +142,7 @@
         attempt.is_unsent() && self.clock.now() >= attempt.deadline
     }
 
-    /// Writes the request, or the last piece of one that is streamed.
+    /// Writes the buffered request, or the last piece of a streamed one.
     fn write_last_piece(&mut self, key: UpstreamKey) {
         let now = self.clock.now();
         let Some((stream, attempt)) = self.upstream.connections[key].stream_and_attempt() else {
@@ -151,7 +150,7 @@
         };
         let request = attempt.request;
         let was_streamed = matches!(attempt.request_state, RequestState::Streamed(_));
-        let Some(outbox) = attempt.write_last_piece(stream, now) else {
+        let Some(write_buffer) = attempt.write_last_piece(stream, now) else {
             return;
         };
         let deadline = attempt.deadline;
@@ -159,7 +158,7 @@
             self.set_attempt_timer(key, deadline);
         }
         self.access_metrics.attempts_forwarded += u64::from(request.is_some());
-        self.buffers.give_back(outbox);
+        self.buffers.give_back(write_buffer);
         if let Some(request) = request.filter(|_| was_streamed) {
             self.streaming_progress(request, key, true);
         }
--- a/proxy/src/upstream/timeouts.rs
+++ b/proxy/src/upstream/timeouts.rs
@@ -1,4 +1,4 @@
-//! Timeouts: of connecting, of an attempt, and of a streamed body that stands still.
+//! Connect timeouts, attempt deadlines, and stall timeouts of streamed bodies.
 
 use super::request_state::RequestState;
 use crate::proxy::Proxy;
@@ -6,7 +6,7 @@
 use crankmux::types::{AttemptOutcome, LoadReport};
 
 impl Proxy {
-    /// Looks at an attempt again at a time, in place of any time set before.
+    /// Sets the timer of an attempt, replacing any earlier one.
     pub(super) fn set_attempt_timer(&mut self, key: UpstreamKey, at: f64) {
         let Some(connection) = self.upstream.connections.get_mut(key) else {
             return;
@@ -16,7 +16,7 @@
         connection.timer = Some(self.timers.set(at, timeout));
     }
 
-    /// An attempt may have run out of time, or its streamed body may have stood still for too long.
+    /// Handles the timer of an attempt: checks its deadline, or a streamed body for a stall.
     pub(crate) fn upstream_timeout(&mut self, key: UpstreamKey) {
         let Some(connection) = self.upstream.connections.get_mut(key) else {
             return;
@@ -38,8 +38,7 @@
         self.attempt_timed_out(key);
     }
 
-    /// Ends an attempt whose endpoint neither takes nor gives anything. Whose turn it is tells who stalls; a client
-    /// has a timeout of its own.
+    /// Ends an attempt whose endpoint has stalled. Waiting for the client does not count: it has its own timeout.
     fn check_stall(&mut self, key: UpstreamKey) {
         let now = self.now();
         let connection = &mut self.upstream.connections[key];
@@ -47,19 +46,19 @@
         let Some(attempt) = connection.attempt_mut() else {
             return;
         };
-        let is_clients_turn = match attempt.response_target() {
+        let waits_for_client = match attempt.response_target() {
             Some(client) => !self.downstream.has_drained_response(client),
             None => attempt.awaits_request_source(),
         };
-        if is_clients_turn {
+        if waits_for_client {
             attempt.last_progress_at = now;
         }
-        let stalls_at = attempt.stalls_at();
-        if now < stalls_at {
-            return self.set_attempt_timer(key, stalls_at);
+        let stall_deadline = attempt.stall_deadline();
+        if now < stall_deadline {
+            return self.set_attempt_timer(key, stall_deadline);
         }
         let idle_ms = now - attempt.last_progress_at;
-        log::info!("endpoint {endpoint}: nothing has moved for {idle_ms:.0} ms");
+        log::info!("endpoint {endpoint}: streamed body stalled for {idle_ms:.0} ms");
         self.connection_lost(key);
     }
 
@@ -69,23 +68,23 @@
         let Some(attempt) = connection.attempt() else {
             return;
         };
-        // Before its last byte is written it cannot have run.
+        // An endpoint cannot have processed a request that it has not received completely.
         let outcome = if attempt.is_written() {
             AttemptOutcome::TimedOut
         } else {
             AttemptOutcome::Unreachable
         };
-        if self.upstream.endpoints[endpoint.index()].last_heard_at < attempt.started_at {
-            // A machine that is cut off says nothing, and each idle connection to it would swallow an attempt. A
-            // new connection shows at once whether it is there.
+        if self.upstream.endpoints[endpoint.index()].last_activity_at < attempt.started_at {
+            // The machine may be unreachable, so that every idle connection to it would cost an attempt. A new
+            // connection is needed to tell.
             self.close_idle_connections(endpoint);
         }
         self.fail_attempt(key, outcome, LoadReport::default());
     }
 
-    /// The endpoint takes no more of a streamed request for now. Where the rest of the request lies here, its time
-    /// runs.
-    pub(crate) fn endpoint_takes_no_more(&mut self, key: UpstreamKey, client: DownstreamKey) {
+    /// Handles an endpoint that accepts no more of a streamed request for now. If the client has sent the entire
+    /// request, its timeout starts.
+    pub(crate) fn request_write_blocked(&mut self, key: UpstreamKey, client: DownstreamKey) {
         let now = self.clock.now();
         let Some(attempt) = self.upstream.attempt_mut(key) else {
             return;
@@ -93,24 +92,24 @@
         let RequestState::Streamed(streamed) = &mut attempt.request_state else {
             return;
         };
-        if streamed.rest_received_at.is_some() || !self.downstream.whole_request_received(client) {
+        if streamed.write_blocked_at.is_some() || !self.downstream.whole_request_received(client) {
             return;
         }
-        streamed.rest_received_at = Some(now);
-        let stalls_at = attempt.stalls_at();
-        self.set_attempt_timer(key, stalls_at);
+        streamed.write_blocked_at = Some(now);
+        let stall_deadline = attempt.stall_deadline();
+        self.set_attempt_timer(key, stall_deadline);
     }
 
-    /// Limits all deadlines: attempts that are in flight at that time end then.
-    pub fn end_requests(&mut self, at: f64) {
+    /// Limits all deadlines to `at`, when attempts still in flight are ended.
+    pub fn limit_deadlines(&mut self, at: f64) {
         self.requests.limit_deadlines(at);
         self.timers
-            .set(at, move |proxy: &mut Proxy| proxy.end_attempts(at));
+            .set(at, move |proxy: &mut Proxy| proxy.expire_attempts(at));
     }
 
-    fn end_attempts(&mut self, deadline: f64) {
-        // A response that is being streamed would outlast the process, and end as if it were whole where only the
-        // connection's end delimits it.
+    fn expire_attempts(&mut self, deadline: f64) {
+        // A streamed response would be cut off by the exit, and one delimited by the connection close would look
+        // complete.
         let streaming = self.upstream.connections.keys_where(|connection| {
             connection
                 .attempt()
