--- a/proxy/src/lifecycle/mod.rs
+++ b/proxy/src/lifecycle/mod.rs
@@ -1,12 +1,12 @@
-//! Start, reload, shutdown and upgrade of the process, and what it keeps on disk.
+//! Start, reload, shutdown and upgrade of the process, and its stored state.
 
 /// Configuration reload while requests are in flight.
 pub mod reload;
 /// Graceful shutdown.
 pub mod shutdown;
-/// Process start, and the event loop until the process stops.
+/// Process start and the main loop.
 pub mod start;
-/// The state directory, which outlives crashes and upgrades.
+/// The directory of state that persists across crashes and upgrades.
 pub mod state_directory;
-/// Upgrades: the handover of the listener and state to a newer process.
+/// Upgrades: handover of the listener and state to a newer process.
 pub mod upgrade;
--- a/proxy/src/lifecycle/reload.rs
+++ b/proxy/src/lifecycle/reload.rs
@@ -1,4 +1,4 @@
-//! Reload: the configuration is read again, and what may change while requests are in flight is applied.
+//! Configuration reload: applies the settings that can change while requests are in flight.
 
 use crate::cluster::ClusterConfig;
 use crate::config::configuration::Configuration;
@@ -14,24 +14,24 @@
     Configuration(#[from] ConfigurationError),
     #[error(transparent)]
     OperatorConfig(#[from] OperatorConfigError),
-    /// The load balancer rejects the settings.
+    /// The dispatcher settings are invalid.
     #[error("settings: {0}")]
     Settings(#[from] SettingsError),
 }
 
-/// Reads both files again. Requests, connections and learned state live on, whatever the new files hold; a
-/// faulty file, or one half written, is rejected whole, as ending a proxy that serves would be worse.
+/// Reloads both configuration files. Requests, connections and learned state are kept. An invalid or partly written
+/// file is rejected as a whole and the proxy keeps running.
 pub fn reload(proxy: &mut Proxy) {
     match load_and_apply(proxy) {
         Ok(()) => {
             proxy.access_metrics.reloads_applied += 1;
             log::info!(
-                "listen, admin_addr, limits, seed, name and known count from the next start"
+                "changes of listen, admin_addr, limits, seed, name and known apply from the next start"
             );
         }
         Err(error) => {
             proxy.access_metrics.reloads_rejected += 1;
-            log::error!("the configuration stays as it was: {error}");
+            log::error!("reload rejected, the configuration stays as it was: {error}");
         }
     }
 }
@@ -47,7 +47,7 @@
     Ok((configuration, operator_config.cluster))
 }
 
-/// All that can fail comes first, on a copy of the names: no half of a file is ever in force.
+/// Everything that can fail is done first, on a copy of the name index, so that a file is never applied in part.
 fn apply(
     proxy: &mut Proxy,
     new: Configuration,
@@ -66,7 +66,7 @@
     proxy.key_header = new.key_header;
     proxy.active_configuration = new.document;
     proxy.reload_cluster(cluster_config);
-    // The new settings tell another number of proxies; the cluster's own estimate takes precedence over it.
+    // The configured number of proxies may have changed; the cluster's estimate takes precedence.
     proxy.apply_process_share();
     proxy.watch_discovery(new.discovery);
     log::info!("configuration read again; discovery at {}", new.discovery);
--- a/proxy/src/lifecycle/start.rs
+++ b/proxy/src/lifecycle/start.rs
@@ -1,4 +1,4 @@
-//! Start: one event loop over everything, until told to stop.
+//! Process start and the main loop.
 
 use super::reload;
 use super::shutdown::Shutdown;
@@ -13,22 +13,22 @@
 use signal_hook_mio::v1_0::Signals;
 use std::io;
 
-/// Why the proxy could not start, or not go on.
+/// Why the proxy could not start or continue.
 #[derive(Debug, thiserror::Error)]
 pub enum RunError {
-    /// The platform's configuration is faulty.
+    /// The platform's configuration is invalid.
     #[error(transparent)]
     Configuration(#[from] ConfigurationError),
-    /// The operator's configuration is faulty. No start with half of one: it would be another than was meant.
+    /// The operator's configuration is invalid; it is never applied in part.
     #[error(transparent)]
     OperatorConfig(#[from] OperatorConfigError),
-    /// The system gives no means to wait for events.
+    /// The event loop cannot be set up.
     #[error("cannot set up the event loop: {0}")]
     EventLoopSetup(#[source] io::Error),
     /// Signals cannot be received.
     #[error("cannot receive signals: {0}")]
     Signals(#[source] io::Error),
-    /// A socket or a part of the proxy cannot be set up.
+    /// The proxy cannot be set up.
     #[error(transparent)]
     Proxy(#[from] ProxyError),
     /// Waiting for events failed.
@@ -36,11 +36,11 @@
     EventLoop(#[source] io::Error),
 }
 
-/// Runs the proxy until it is told to stop and all that it accepted is answered.
+/// Runs the proxy until it is told to stop and every accepted request is answered.
 ///
 /// # Errors
 ///
-/// Why it could not start, or not go on.
+/// Fails if the proxy cannot start, or cannot wait for events.
 pub fn run() -> Result<(), RunError> {
     let configuration = Configuration::load()?;
     let cluster_options = operator_config::load()?.cluster;
@@ -49,11 +49,10 @@
     let mut poll = Poll::new().map_err(RunError::EventLoopSetup)?;
     let mut signals = watch_signals(&poll).map_err(RunError::Signals)?;
     let mut proxy = Proxy::new(configuration, cluster_config, &poll)?;
-    // Room for an event of each descriptor: were some left for the next turn, timers that are due would run
-    // ahead of them.
+    // Room for one event per descriptor: events left for the next turn would be handled after timers already due.
     let mut events = Events::with_capacity(proxy.sockets());
     let mut shutdown = Shutdown::default();
-    while !shutdown.done(&mut proxy) {
+    while !shutdown.advance(&mut proxy) {
         let signalled = proxy
             .turn(&mut poll, &mut events)
             .map_err(RunError::EventLoop)?;
--- a/proxy/src/lifecycle/upgrade/learned_state.rs
+++ b/proxy/src/lifecycle/upgrade/learned_state.rs
@@ -1,4 +1,5 @@
-//! What a process has learned of endpoints, in names and hashes that another process knows too.
+//! The stored form of the learned state. It identifies request classes by name and endpoints by hash, as indices differ
+//! between processes.
 
 use crate::lenient_json;
 use crankmux::settings::NameIndex;
@@ -8,44 +9,44 @@
 use std::collections::BTreeMap;
 use std::ops::RangeInclusive;
 
-// What figures can be. One that is far off would starve an endpoint or flood it for good.
-const LATENCY_MS: RangeInclusive<f64> = 0.01..=1e6;
-const TAIL_MULTIPLE: RangeInclusive<f64> = 1.5..=8.0;
-const THROUGHPUT: RangeInclusive<f64> = 0.0..=1e3;
-const RELATIVE_LATENCY: RangeInclusive<f64> = 0.001..=1e3;
-const ERROR_RATE: RangeInclusive<f64> = 0.0..=1.0;
-const CONCURRENCY_LIMIT: RangeInclusive<f64> = 1.0..=1e3;
-const SUCCESSES: RangeInclusive<f64> = 0.0..=1e9;
+// Valid ranges of stored values. A value far outside would starve or overload an endpoint.
+const LATENCY_MS_RANGE: RangeInclusive<f64> = 0.01..=1e6;
+const TAIL_MULTIPLE_RANGE: RangeInclusive<f64> = 1.5..=8.0;
+const THROUGHPUT_RANGE: RangeInclusive<f64> = 0.0..=1e3;
+const RELATIVE_LATENCY_RANGE: RangeInclusive<f64> = 0.001..=1e3;
+const ERROR_RATE_RANGE: RangeInclusive<f64> = 0.0..=1.0;
+const CONCURRENCY_LIMIT_RANGE: RangeInclusive<f64> = 1.0..=1e3;
+const SUCCESSES_RANGE: RangeInclusive<f64> = 0.0..=1e9;
 
-/// A [`LearnedState`] as it is stored. Figures that are missing, or no numbers, are none. The fields stand in
-/// the order of their stored names, which is their order in the file.
+/// The stored form of a [`LearnedState`]. Values that are missing or not numbers are `None`. Fields are sorted by their
+/// stored names, which is their order in the file.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize, Serialize)]
 #[serde(default)]
 pub struct LearnedStateSnapshot {
-    /// By the request class's name.
+    /// The request classes, by name.
     #[serde(rename = "categories", deserialize_with = "class_snapshots")]
     pub classes: BTreeMap<String, ClassSnapshot>,
     /// The statistics of each endpoint.
     #[serde(rename = "servers", deserialize_with = "lenient_json::objects")]
     pub endpoints: Vec<EndpointSnapshot>,
-    /// The multiple of the usual latency that most attempts stay under.
+    /// The multiple of the mean latency that most attempts stay below.
     #[serde(rename = "slack", deserialize_with = "lenient_json::number")]
     pub tail_multiple: Option<f64>,
-    /// Smoothed latency of a successful attempt.
+    /// The smoothed latency of successful attempts.
     #[serde(rename = "time", deserialize_with = "lenient_json::number")]
     pub mean_latency_ms: Option<f64>,
-    /// The mean throughput of an endpoint after its slow start.
+    /// The mean throughput of an endpoint after slow start.
     #[serde(rename = "warm_rate", deserialize_with = "lenient_json::number")]
     pub warm_throughput: Option<f64>,
 }
 
-/// What was learned of a request class; stored as a list of both.
+/// The learned state of a request class, stored as an array of both values.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 #[serde(into = "[f64; 2]")]
 pub struct ClassSnapshot {
-    /// Its latency.
+    /// The smoothed latency.
     pub latency_ms: f64,
-    /// How many successes that rests on.
+    /// The number of successes that the latency is based on.
     pub successes: f64,
 }
 
@@ -55,34 +56,34 @@
     }
 }
 
-/// [`EndpointStatistics`] with the hash by which all processes know the endpoint.
+/// The stored form of [`EndpointStatistics`], with the endpoint's hash.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize, Serialize)]
 #[serde(default)]
 pub struct EndpointSnapshot {
-    /// The best relative latency.
+    /// The lowest relative latency.
     #[serde(rename = "best", deserialize_with = "lenient_json::number")]
     pub best_relative_latency: Option<f64>,
-    /// Own successes over time.
+    /// The smoothed throughput of this proxy's successful attempts.
     #[serde(rename = "borne", deserialize_with = "lenient_json::number")]
     pub throughput: Option<f64>,
-    /// The share of failed attempts.
+    /// The smoothed fraction of failed attempts.
     #[serde(rename = "faults", deserialize_with = "lenient_json::number")]
     pub error_rate: Option<f64>,
-    /// The most requests in flight.
+    /// The maximum number of requests in flight.
     #[serde(rename = "limit", deserialize_with = "lenient_json::number")]
     pub concurrency_limit: Option<f64>,
     /// The endpoint's hash.
     #[serde(rename = "mark", deserialize_with = "lenient_json::unsigned")]
     pub stable_hash: Option<u64>,
-    /// Latency over the usual one; none before the first answer.
+    /// The smoothed latency relative to the mean; `None` before the first response.
     #[serde(rename = "pace", deserialize_with = "lenient_json::number")]
     pub relative_latency: Option<f64>,
-    /// The most throughput.
+    /// The highest throughput.
     #[serde(rename = "peak", deserialize_with = "lenient_json::number")]
     pub peak_throughput: Option<f64>,
 }
 
-/// Reads the classes whose entry has two numbers; others are left out.
+/// Deserializes the classes whose entry has two numbers and skips the others.
 fn class_snapshots<'de, D: Deserializer<'de>>(
     deserializer: D,
 ) -> Result<BTreeMap<String, ClassSnapshot>, D::Error> {
@@ -105,21 +106,21 @@
     Ok(classes.collect())
 }
 
-/// A figure held to what it can be; none where it is none.
-fn clamped(figure: Option<f64>, range: RangeInclusive<f64>) -> Option<f64> {
-    let figure = figure.filter(|figure| figure.is_finite())?;
-    Some(figure.clamp(*range.start(), *range.end()))
+/// Clamps a finite value to a range.
+fn clamped(value: Option<f64>, range: RangeInclusive<f64>) -> Option<f64> {
+    let value = value.filter(|value| value.is_finite())?;
+    Some(value.clamp(*range.start(), *range.end()))
 }
 
-/// Replaces a figure by a stored one, if there is one.
-fn restore_figure(figure: &mut f64, stored: Option<f64>, range: RangeInclusive<f64>) {
+/// Replaces a value by the stored one, if there is one.
+fn restore_value(value: &mut f64, stored: Option<f64>, range: RangeInclusive<f64>) {
     if let Some(stored) = clamped(stored, range) {
-        *figure = stored;
+        *value = stored;
     }
 }
 
 impl LearnedStateSnapshot {
-    /// Puts names and hashes for the indices of this process.
+    /// Captures a state, replacing the indices of this process by names and hashes.
     pub fn capture(name_index: &NameIndex, state: &LearnedState) -> Self {
         let class_names = name_index.classes.names.iter().cloned();
         let classes = state
@@ -141,17 +142,28 @@
         }
     }
 
-    /// Puts what is stored over the state that this process starts from: each figure is held to what it can be,
-    /// and one that is missing stays as it is. Classes and endpoints that this process does not know are left
-    /// out.
+    /// Overwrites the initial state of this process with the stored values, clamped to their valid ranges. Missing
+    /// values stay as they are; classes and endpoints that this process does not know are ignored.
     pub fn restore(&self, name_index: &NameIndex, mut state: LearnedState) -> LearnedState {
-        restore_figure(&mut state.mean_latency_ms, self.mean_latency_ms, LATENCY_MS);
-        restore_figure(&mut state.tail_multiple, self.tail_multiple, TAIL_MULTIPLE);
-        restore_figure(&mut state.warm_throughput, self.warm_throughput, THROUGHPUT);
+        restore_value(
+            &mut state.mean_latency_ms,
+            self.mean_latency_ms,
+            LATENCY_MS_RANGE,
+        );
+        restore_value(
+            &mut state.tail_multiple,
+            self.tail_multiple,
+            TAIL_MULTIPLE_RANGE,
+        );
+        restore_value(
+            &mut state.warm_throughput,
+            self.warm_throughput,
+            THROUGHPUT_RANGE,
+        );
         for (name, class) in name_index.classes.names.iter().zip(&mut state.classes) {
             if let Some(stored) = self.classes.get(name) {
-                restore_figure(&mut class.0, Some(stored.latency_ms), LATENCY_MS);
-                restore_figure(&mut class.1, Some(stored.successes), SUCCESSES);
+                restore_value(&mut class.0, Some(stored.latency_ms), LATENCY_MS_RANGE);
+                restore_value(&mut class.1, Some(stored.successes), SUCCESSES_RANGE);
             }
         }
         for (endpoint, statistics) in &mut state.endpoints {
@@ -163,8 +175,8 @@
     }
 
     fn endpoint(&self, stable_hash: u64) -> Option<&EndpointSnapshot> {
-        let is_it = |endpoint: &&EndpointSnapshot| endpoint.stable_hash == Some(stable_hash);
-        self.endpoints.iter().find(is_it)
+        let has_hash = |endpoint: &&EndpointSnapshot| endpoint.stable_hash == Some(stable_hash);
+        self.endpoints.iter().find(has_hash)
     }
 }
 
@@ -182,24 +194,32 @@
     }
 
     fn restore(&self, statistics: &mut EndpointStatistics) {
-        // None is a figure here: no answer has come yet.
-        statistics.relative_latency = clamped(self.relative_latency, RELATIVE_LATENCY);
-        restore_figure(
+        // `None` is restored too: it means that there was no response yet.
+        statistics.relative_latency = clamped(self.relative_latency, RELATIVE_LATENCY_RANGE);
+        restore_value(
             &mut statistics.best_relative_latency,
             self.best_relative_latency,
-            RELATIVE_LATENCY,
+            RELATIVE_LATENCY_RANGE,
+        );
+        restore_value(
+            &mut statistics.error_rate,
+            self.error_rate,
+            ERROR_RATE_RANGE,
+        );
+        restore_value(
+            &mut statistics.throughput,
+            self.throughput,
+            THROUGHPUT_RANGE,
         );
-        restore_figure(&mut statistics.error_rate, self.error_rate, ERROR_RATE);
-        restore_figure(&mut statistics.throughput, self.throughput, THROUGHPUT);
-        restore_figure(
+        restore_value(
             &mut statistics.peak_throughput,
             self.peak_throughput,
-            THROUGHPUT,
+            THROUGHPUT_RANGE,
         );
-        restore_figure(
+        restore_value(
             &mut statistics.concurrency_limit,
             self.concurrency_limit,
-            CONCURRENCY_LIMIT,
+            CONCURRENCY_LIMIT_RANGE,
         );
     }
 }
--- a/proxy/src/lifecycle/upgrade/mod.rs
+++ b/proxy/src/lifecycle/upgrade/mod.rs
@@ -1,5 +1,5 @@
-//! Upgrades: a newer process beside an older one, both one proxy. The older one hands over its listener and what
-//! it knows through a Unix socket in the state directory.
+//! Upgrades without downtime: an older process hands its listener and state over to a newer process of the same proxy,
+//! through a Unix socket in the state directory.
 
 mod learned_state;
 mod newer_process;
@@ -17,31 +17,31 @@
 use mio::{Interest, Registry};
 use std::io;
 
-/// This process among those of its proxy. One that was handed over to may hand over itself before the older one
-/// has ended.
+/// The connections of this process to the other processes of its proxy. A newer process may hand over to a third one
+/// before the older one has exited.
 pub struct Upgrade {
-    /// Where a newer process asks for a handover; none where no socket can be made.
+    /// Where a newer process requests a handover; `None` if the socket could not be created.
     listener: Option<UnixListener>,
     older: OlderProcess,
-    /// The connection to the newer process, while one runs.
+    /// The connection to the newer process, while it runs.
     newer: Option<UnixStream>,
 }
 
-/// The process before this one.
+/// The process that this one replaces.
 #[derive(Default)]
 enum OlderProcess {
-    /// There is none, or none any more.
+    /// There is none, or it has exited.
     #[default]
     None,
-    /// It accepts clients; this one does not yet.
+    /// The older process still accepts clients; this one does not.
     Accepting(OlderConnection),
-    /// This process accepts clients; the older one finishes what it has.
+    /// This process accepts clients; the older one completes its requests.
     Draining(OlderConnection),
 }
 
 struct OlderConnection {
     stream: UnixStream,
-    /// While the older process runs, this one and those after it have the limits divided by this.
+    /// While the older process runs, the limits of this process and its successors are divided by this.
     share_divisor: u8,
 }
 
@@ -62,11 +62,11 @@
 }
 
 impl Upgrade {
-    /// Starts as the newer process of a handover, or as the only one, and listens for a newer one still.
+    /// Starts as the newer process of a handover or as the only process, and listens for a newer one.
     ///
     /// # Errors
     ///
-    /// The event loop cannot watch a socket.
+    /// Fails if a socket cannot be registered with the event loop.
     pub fn new(
         handover: Option<Handover>,
         state_directory: &StateDirectory,
@@ -90,7 +90,7 @@
         Ok(upgrade)
     }
 
-    /// Listens for a newer process.
+    /// Listens for a newer process, replacing any earlier listener.
     fn listen(&mut self, state_directory: &StateDirectory, registry: &Registry) -> io::Result<()> {
         let Some(path) = protocol::socket_path(state_directory) else {
             return Ok(());
@@ -98,7 +98,7 @@
         if let Some(mut listener) = self.listener.take() {
             let _ = registry.deregister(&mut listener);
         }
-        // A socket left by a crash or by another process leads nowhere any more, or not to this one.
+        // The socket file may be left from a crash, or belong to another process.
         let _ = std::fs::remove_file(&path);
         match UnixListener::bind(&path) {
             Ok(mut listener) => {
@@ -113,7 +113,7 @@
         Ok(())
     }
 
-    /// Accepts the connection of a newer process; where there is no listener, none waits.
+    /// Accepts the connection of a newer process; `WouldBlock` without a listener.
     fn accept(&self) -> io::Result<UnixStream> {
         match &self.listener {
             Some(listener) => listener.accept().map(|(stream, _)| stream),
@@ -121,28 +121,28 @@
         }
     }
 
-    /// Whether it leaves clients to the older process still.
+    /// Whether the older process still accepts clients in place of this one.
     pub fn waits_to_accept(&self) -> bool {
         matches!(self.older, OlderProcess::Accepting(_))
     }
 
-    /// Whether another process of this proxy runs.
+    /// Whether another process of this proxy is running.
     pub fn has_other_process(&self) -> bool {
         self.older.connection().is_some() || self.newer.is_some()
     }
 
-    /// Whether it has handed over to a newer process.
+    /// Whether this process has handed over to a newer one.
     pub fn has_newer_process(&self) -> bool {
         self.newer.is_some()
     }
 
-    /// This process's share of the proxy's limits.
+    /// The fraction of the proxy's limits that this process may use.
     pub fn process_share(&self) -> f64 {
         let processes = if self.newer.is_some() { 2.0 } else { 1.0 };
         1.0 / (f64::from(self.share_divisor()) * processes)
     }
 
-    /// This process and those after it have the proxy's limits divided by this.
+    /// The limits of this process and its successors are divided by this.
     fn share_divisor(&self) -> u8 {
         self.older
             .connection()
--- a/proxy/src/lifecycle/upgrade/newer_process.rs
+++ b/proxy/src/lifecycle/upgrade/newer_process.rs
@@ -1,17 +1,17 @@
-//! The newer process of an upgrade: starts from what the older one knew, and accepts clients once it can serve.
+//! The newer process of an upgrade: restores the older one's state and accepts clients once it is ready.
 
 use super::protocol::{self, PeerEvent};
 use super::{LearnedStateSnapshot, OlderProcess};
 use crate::proxy::Proxy;
 
 impl Proxy {
-    /// Takes over what the older process has learned of the endpoints that are listed now.
+    /// Restores the learned state of the older process for the endpoints listed now.
     pub fn restore_learned_state(&mut self, snapshot: &LearnedStateSnapshot) {
         let state = snapshot.restore(&self.name_index, self.dispatcher.learned_state());
         self.dispatcher.restore_learned_state(&state);
     }
 
-    /// Accepts clients, once it can serve them or nobody else does.
+    /// Starts to accept clients in place of the older process.
     pub fn start_accepting(&mut self) {
         match std::mem::take(&mut self.upgrade.older) {
             OlderProcess::Accepting(mut older) => {
@@ -23,18 +23,18 @@
         }
     }
 
-    /// The older process has something to tell, or has ended.
+    /// Handles an event of the connection to the older process.
     pub fn older_process_event(&mut self) {
         let Some(older) = self.upgrade.older.connection_mut() else {
             return;
         };
         match protocol::read_event(&mut older.stream) {
-            PeerEvent::Accepting | PeerEvent::Nothing => {}
-            PeerEvent::Ended => self.older_process_ended(),
+            PeerEvent::Accepting | PeerEvent::Pending => {}
+            PeerEvent::Closed => self.older_process_ended(),
         }
     }
 
-    /// All limits are this process's, and nobody else accepts clients.
+    /// Takes all of the limits, and accepts clients if the older process did until now.
     fn older_process_ended(&mut self) {
         log::info!("the older process has ended");
         let waits_to_accept = self.upgrade.waits_to_accept();
--- a/proxy/src/lifecycle/upgrade/older_process.rs
+++ b/proxy/src/lifecycle/upgrade/older_process.rs
@@ -1,4 +1,5 @@
-//! The older process of an upgrade: hands over what it has, and accepts clients again if the newer one fails.
+//! The older process of an upgrade: hands over its listener and state, and accepts clients again if the newer process
+//! fails.
 
 use super::protocol::{self, HandoverError, PeerEvent};
 use super::{HandoverSnapshot, LearnedStateSnapshot};
@@ -10,14 +11,14 @@
 use std::io;
 use std::os::fd::AsFd;
 
-/// How soon accepting is tried again where no descriptor was left: well within the time in which a newer
-/// process waits for an answer.
+/// Delay before accepting is retried after an error, such as a lack of descriptors. Must be well below the handover
+/// timeout.
 const ACCEPT_RETRY_MS: f64 = 50.0;
 
 impl Proxy {
-    /// A newer process asks for what this one has.
+    /// Accepts newer processes that request a handover.
     pub fn accept_newer_process(&mut self) {
-        // Without a descriptor the newer process would go on without what this one knows.
+        // Without a descriptor, the newer process would start without a handover.
         loop {
             let accepted =
                 self.open_reserved(DescriptorPurpose::Handover, |proxy| proxy.upgrade.accept());
@@ -27,7 +28,7 @@
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => return,
                 Err(error) => {
                     if !is_out_of_descriptors(&error) {
-                        log::warn!("cannot hear a newer process: {error}");
+                        log::warn!("cannot accept the connection of a newer process: {error}");
                     }
                     let retry_at = self.now() + ACCEPT_RETRY_MS;
                     self.timers.set(retry_at, Proxy::accept_newer_process);
@@ -38,10 +39,10 @@
     }
 
     fn newer_process_connected(&mut self, stream: UnixStream) {
-        // There is nothing to hand over while it stops, or where that is done: then the newer process goes on alone.
+        // During shutdown or after an earlier handover the newer process starts on its own.
         if !self.stopping() && !self.upgrade.has_newer_process() {
             if let Err(error) = self.hand_over_to(stream) {
-                log::warn!("cannot hand over: {error}");
+                log::warn!("cannot hand over to a newer process: {error}");
             }
         }
         self.replenish_reserve_of(DescriptorPurpose::Handover);
@@ -57,7 +58,7 @@
             .register(&mut stream, NEWER_PROCESS, Interest::READABLE)?;
         self.upgrade.newer = Some(stream);
         self.yield_cluster();
-        // Before the newer process has anything, so that both together never exceed the limits.
+        // Before the newer process gets its share, so that both together never exceed the limits.
         self.apply_process_share();
         if let Err(error) = self.send_listener() {
             self.newer_process_ended();
@@ -86,35 +87,35 @@
         protocol::send_listener(stream, listener.as_fd(), share_divisor)
     }
 
-    /// The newer process says that it accepts clients, or has ended.
+    /// Handles an event of the connection to the newer process.
     pub fn newer_process_event(&mut self) {
         let Some(stream) = &mut self.upgrade.newer else {
             return;
         };
         match protocol::read_event(stream) {
             PeerEvent::Accepting => {
-                log::info!("the newer process takes clients in");
+                log::info!("the newer process accepts clients; this one stops accepting");
                 self.stop_listening();
             }
-            PeerEvent::Nothing => {}
-            PeerEvent::Ended => self.newer_process_ended(),
+            PeerEvent::Pending => {}
+            PeerEvent::Closed => self.newer_process_ended(),
         }
     }
 
-    /// The upgrade has failed: this process accepts clients again, and has its own share of the limits.
+    /// Undoes a failed upgrade: restores the limits of this process and accepts clients again.
     fn newer_process_ended(&mut self) {
         log::warn!("the newer process has ended");
         if let Some(mut stream) = self.upgrade.newer.take() {
             let _ = self.registry.deregister(&mut stream);
         }
-        // Applies this process's own reserve too, with the descriptor of that connection.
+        // Also reserves the descriptor of the closed connection again.
         self.apply_process_share();
         if self.stopping() {
             return;
         }
         self.rejoin_cluster();
         self.listen();
-        // The newer process had put its own socket there; the next one would find nobody behind it.
+        // The newer process replaced the socket file with its own, which nobody listens on any more.
         if let Err(error) = self.upgrade.listen(&self.state_directory, &self.registry) {
             log::warn!("no upgrade can be handed over: {error}");
         }
--- a/proxy/src/lifecycle/upgrade/protocol.rs
+++ b/proxy/src/lifecycle/upgrade/protocol.rs
@@ -1,6 +1,6 @@
-//! The protocol of a handover: over a Unix socket in the state directory the older process sends its listener
-//! with one byte, the share of the limits that the newer one gets; the newer one answers by a byte once it
-//! accepts clients. The connection stays open while both live, so its end tells each of the other's.
+//! The handover protocol. Over a Unix socket in the state directory, the older process sends the descriptor of its
+//! listener with one byte, by which the limits of the newer process are divided; the newer process replies with one
+//! byte once it accepts clients. The connection stays open while both run, so that each notices the other's exit.
 
 use super::HandoverSnapshot;
 use crate::lifecycle::state_directory::StateDirectory;
@@ -14,24 +14,24 @@
 use std::time::Duration;
 
 const SOCKET_NAME: &str = "handover";
-/// The older process answers within a turn of its event loop; after this the newer one goes on alone.
-const ANSWER_TIMEOUT: Duration = Duration::from_millis(1000);
-/// The byte by which the newer process says that it accepts clients.
+/// After this the newer process starts without a handover.
+const HANDOVER_TIMEOUT: Duration = Duration::from_millis(1000);
+/// Sent by the newer process once it accepts clients.
 const ACCEPTING: [u8; 1] = [1];
 
-/// Why nothing was handed over.
+/// Why a handover failed.
 #[derive(Debug, thiserror::Error)]
 pub enum HandoverError {
-    /// The socket, or a file beside it, failed.
+    /// A socket or file operation failed.
     #[error(transparent)]
     Io(#[from] io::Error),
-    /// The older process ended the connection, or sent no listener.
+    /// The older process closed the connection, or sent no listener.
     #[error("the older process sent no listener")]
     NoListenerReceived,
-    /// The listener is closed already.
+    /// The listener is already closed.
     #[error("there is no listener to hand over")]
     NoListener,
-    /// The message has no room for the listener.
+    /// The listener does not fit into the ancillary data.
     #[error("the listener does not fit into the message")]
     ListenerDoesNotFit,
     /// There is no state directory for the snapshot.
@@ -39,24 +39,25 @@
     NoStateDirectory,
 }
 
-/// What an older process has handed over.
+/// What a newer process receives in a handover.
 pub struct Handover {
     /// The listener that clients connect to.
     pub listener: TcpListener,
-    /// What the older process knew.
+    /// The state of the older process.
     pub snapshot: HandoverSnapshot,
-    /// The connection to it, which tells when it ends.
+    /// The connection to the older process, which closes when that process exits.
     pub(super) stream: UnixStream,
-    /// This process and those after it have the proxy's limits divided by this.
+    /// The limits of this process and its successors are divided by this.
     pub(super) share_divisor: u8,
 }
 
-/// Where the socket stands; none without a state directory.
+/// The path of the handover socket; `None` without a state directory.
 pub(super) fn socket_path(state_directory: &StateDirectory) -> Option<PathBuf> {
     state_directory.path(SOCKET_NAME)
 }
 
-/// Asks an older process that listens at the same address for what it has; none where none runs.
+/// Requests a handover from an older process that listens at the same address; `None` if there is none, or if the
+/// handover fails.
 pub fn request_handover(state_directory: &StateDirectory, listen: SocketAddr) -> Option<Handover> {
     let stream = UnixStream::connect(socket_path(state_directory)?).ok()?;
     let handover = match receive(stream, state_directory) {
@@ -66,7 +67,7 @@
             return None;
         }
     };
-    // One of the same name that listens elsewhere is another proxy.
+    // A process of the same name with another address belongs to a different proxy.
     let address = handover.listener.local_addr();
     address
         .is_ok_and(|address| address == listen)
@@ -77,15 +78,15 @@
     stream: UnixStream,
     state_directory: &StateDirectory,
 ) -> Result<Handover, HandoverError> {
-    stream.set_read_timeout(Some(ANSWER_TIMEOUT))?;
+    stream.set_read_timeout(Some(HANDOVER_TIMEOUT))?;
     let (share_divisor, listener) = receive_listener(&stream)?;
-    // The older process wrote the file before it sent the listener.
+    // The older process writes the file before it sends the listener.
     let path = HandoverSnapshot::path(state_directory).ok_or(HandoverError::NoStateDirectory)?;
     Ok(Handover {
         listener: listener.into(),
-        snapshot: HandoverSnapshot::take(&path),
+        snapshot: HandoverSnapshot::load_and_remove(&path),
         stream,
-        // The two share the limits, whatever was sent.
+        // Two processes always share the limits, whatever was sent.
         share_divisor: share_divisor.max(2),
     })
 }
@@ -111,7 +112,7 @@
     }
 }
 
-/// Sends the listener to the newer process, with its share of the limits.
+/// Sends the listener and the divisor of the limits to the newer process.
 pub(super) fn send_listener(
     stream: impl AsFd,
     listener: BorrowedFd,
@@ -135,21 +136,21 @@
 
 /// Tells the older process that this one accepts clients.
 pub(super) fn send_accepting(stream: &mut impl Write) {
-    // One byte fits into an empty socket buffer.
+    // Cannot block: the socket buffer is empty.
     let _ = stream.write(&ACCEPTING);
 }
 
-/// What the other process's end of the connection tells.
+/// What the other process has sent.
 pub(super) enum PeerEvent {
-    /// It has sent its byte.
+    /// The byte by which it reports that it accepts clients.
     Accepting,
     /// Nothing yet.
-    Nothing,
-    /// It has ended.
-    Ended,
+    Pending,
+    /// It has closed the connection, as by exiting.
+    Closed,
 }
 
-/// Reads what the other process tells.
+/// Reads from the connection to the other process.
 pub(super) fn read_event(stream: &mut impl Read) -> PeerEvent {
     match stream.read(&mut [0]) {
         Ok(1..) => PeerEvent::Accepting,
@@ -159,8 +160,8 @@
                 io::ErrorKind::WouldBlock | io::ErrorKind::Interrupted
             ) =>
         {
-            PeerEvent::Nothing
+            PeerEvent::Pending
         }
-        _ => PeerEvent::Ended,
+        _ => PeerEvent::Closed,
     }
 }
--- a/proxy/src/lifecycle/upgrade/snapshot.rs
+++ b/proxy/src/lifecycle/upgrade/snapshot.rs
@@ -1,4 +1,4 @@
-//! What an older process knows beyond its configuration, as a file that the newer one reads.
+//! The file that passes state from an older process to a newer one.
 
 use super::LearnedStateSnapshot;
 use crate::lenient_json;
@@ -10,43 +10,41 @@
 
 const FILE_NAME: &str = "handed.json";
 
-/// What a newer process starts from. The fields stand in the order of their stored names, which is their order
-/// in the file.
+/// The state that a newer process starts with. Fields are sorted by their stored names, which is their order in the
+/// file.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize, Serialize)]
 #[serde(default)]
 pub struct HandoverSnapshot {
-    /// What was learned of endpoints.
+    /// The learned state of the dispatcher.
     #[serde(rename = "learnt", deserialize_with = "lenient_json::object")]
     pub learned_state: LearnedStateSnapshot,
-    /// The endpoint list as last told, in discovery's form; null where there is none.
+    /// The latest endpoint list in the format of discovery, or null.
     #[serde(rename = "list")]
     pub endpoint_list: Value,
-    /// Hashes of the endpoints that were ever listed.
+    /// Hashes of all endpoints that were ever listed.
     #[serde(rename = "once", deserialize_with = "lenient_json::unsigned_list")]
     pub ever_listed: Vec<u64>,
 }
 
 impl HandoverSnapshot {
-    /// Reads the file's text. What is torn or of another form counts as absent: the configuration's list and a
-    /// fresh state stand in for it.
+    /// Parses the file. Truncated or invalid parts count as absent, so that the configured endpoint list and a fresh
+    /// state are used instead.
     pub fn parse(text: &[u8]) -> Self {
         lenient_json::read_object(serde_json::from_slice(text).unwrap_or_default())
     }
 
-    /// Writes the file.
     pub(super) fn store(&self, path: &Path) -> io::Result<()> {
         let text = serde_json::to_vec(self)?;
         std::fs::write(path, text)
     }
 
-    /// Reads the file, and removes it.
-    pub(super) fn take(path: &Path) -> Self {
+    pub(super) fn load_and_remove(path: &Path) -> Self {
         let snapshot = Self::parse(&std::fs::read(path).unwrap_or_default());
         let _ = std::fs::remove_file(path);
         snapshot
     }
 
-    /// Where the file stands; none without a state directory.
+    /// The path of the file; `None` without a state directory.
     pub(super) fn path(state_directory: &StateDirectory) -> Option<PathBuf> {
         state_directory.path(FILE_NAME)
     }
--- a/proxy/src/upstream/timeouts.rs
+++ b/proxy/src/upstream/timeouts.rs
@@ -100,7 +100,7 @@
         self.set_attempt_timer(key, stall_deadline);
     }
 
-    /// Limits all deadlines to `at`, when attempts still in flight are ended.
+    /// Limits all deadlines to `at`. Then streamed responses are ended, and the other attempts' deadlines checked.
     pub fn limit_deadlines(&mut self, at: f64) {
         self.requests.limit_deadlines(at);
         self.timers
