--- a/tests/module/endpoint_list.rs
+++ b/tests/module/endpoint_list.rs
@@ -1,7 +1,7 @@
-//! Following the endpoint list: drains, removals, restarts, operators' calls, and asking for it again.
+//! Changes of the endpoint list: drains, removals, restarts, disabled endpoints, and retries of list requests.
 
 use crate::support::{
-    default_settings, endpoint_update, most_within_a_second, proxy_settings, ready_endpoints,
+    default_settings, endpoint_update, max_within_one_second, proxy_settings, ready_endpoints,
     Answer, Harness, SUCCESS, TTL_MS,
 };
 use crankmux::dispatcher::{Dispatcher, FinalAnswer};
@@ -13,7 +13,7 @@
 use serde_json::json;
 
 #[test]
-fn draining_and_unlisted_endpoints_get_nothing_new() {
+fn draining_and_unlisted_endpoints_get_no_requests() {
     let mut harness = Harness::new(3);
     harness.update_endpoint(0, EndpointState::Draining, 0.0);
     let listed = [
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn a_single_endpoint_left_takes_what_it_can() {
+fn the_only_remaining_endpoint_gets_all_requests() {
     let mut harness = Harness::new(3);
     let changes = [
         endpoint_update(1, EndpointState::Removed, 0.0),
@@ -46,16 +46,16 @@
         [Answer::Rejected],
         "an empty list"
     );
-    let twice = [
+    let duplicate_entries = [
         endpoint_update(0, EndpointState::Ready, 0.0),
         endpoint_update(0, EndpointState::Draining, 0.0),
     ];
-    harness.update_endpoints(&twice, true, false);
+    harness.update_endpoints(&duplicate_entries, true, false);
     harness.send(0);
     assert_eq!(
         harness.checker.requests[1].answers,
         [Answer::Rejected],
-        "the later line holds"
+        "the later of two entries applies"
     );
     harness.update_endpoints(&ready_endpoints(3000), true, false);
     let counts = harness.run(50, 20.0, |_| SUCCESS);
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn a_watch_that_fails_is_opened_again_after_a_growing_backoff() {
+fn a_failed_watch_is_reopened_with_growing_backoff() {
     let mut harness = Harness::new(1);
     assert_eq!(harness.checker.watches, 1, "a cached list may be stale");
     let mut backoffs_ms = Vec::new();
@@ -76,15 +76,16 @@
         harness.advance(4000.0);
     }
     assert_eq!(harness.checker.watches, 9);
-    // They grow, and stay so short that three failures and their waits are over within 6 s.
+    // Backoffs grow, but stay so short that three failed requests and their backoffs fit into 6 s.
     assert!(
-        backoffs_ms[4] > 4.0 * backoffs_ms[0] && backoffs_ms.iter().all(|wait| *wait <= 450.0),
+        backoffs_ms[4] > 4.0 * backoffs_ms[0]
+            && backoffs_ms.iter().all(|backoff_ms| *backoff_ms <= 450.0),
         "{backoffs_ms:?}"
     );
 }
 
 #[test]
-fn where_changes_come_unasked_a_failed_list_is_polled_again_within_the_drain_grace() {
+fn without_a_watch_a_failed_poll_is_retried_within_the_drain_grace() {
     let settings = Settings {
         watch_endpoints: false,
         drain_grace_ms: 500.0,
@@ -96,14 +97,14 @@
         harness
             .balancer
             .discovery_failed(&mut harness.checker, now_ms);
-        // What came meanwhile counts at once: half of the grace is left to act on it.
+        // Half of the grace period is left to act on a change missed in the meantime.
         assert!(harness.checker.timers[0].0 - now_ms <= 250.0);
         harness.advance(4000.0);
     }
 }
 
 #[test]
-fn where_changes_come_unasked_a_cached_list_is_polled_once() {
+fn without_a_watch_a_cached_list_is_polled_once() {
     let settings = Settings {
         watch_endpoints: false,
         ..default_settings()
@@ -113,7 +114,7 @@
 }
 
 #[test]
-fn a_disabled_endpoint_gets_nothing_whatever_the_list_says_and_comes_back_warming_up() {
+fn a_disabled_endpoint_gets_no_requests_and_slow_starts_when_enabled() {
     let mut harness = Harness::new(3);
     harness.run(300, 20.0, |_| SUCCESS);
     harness.disable(1);
@@ -124,22 +125,22 @@
     harness.update_endpoint(1, EndpointState::Ready, disabled_at_ms);
     assert!(!harness.run(60, 20.0, |_| SUCCESS).contains_key(&1));
     harness.enable(1);
-    // The list has not told its last start: it counts from here.
+    // The list gives no later start time, so slow start begins when the endpoint is enabled.
     let counts = harness.run(20, 20.0, |_| SUCCESS);
     let first = counts.get(&1).copied().unwrap_or(0);
     let counts = harness.run(200, 20.0, |_| SUCCESS);
     let later = counts.get(&1).copied().unwrap_or(0);
-    assert!(first <= 6, "{first} of 20 while it warms up");
+    assert!(first <= 6, "{first} of 20 during slow start");
     assert!(later >= 5, "{later} of 200 within 5 s");
     harness.enable(1);
     assert!(
         harness.run(20, 20.0, |_| SUCCESS).contains_key(&1),
-        "to enable it twice changes nothing"
+        "enabling it twice has no effect"
     );
 }
 
 #[test]
-fn an_endpoint_disabled_before_any_list_gets_nothing() {
+fn an_endpoint_disabled_before_it_is_listed_gets_no_requests() {
     let mut harness = Harness::new(0);
     harness.disable(2);
     let listed = [
@@ -153,19 +154,19 @@
     assert_eq!(
         harness.checker.requests[request].answers,
         [Answer::Rejected],
-        "at once, with all endpoints out"
+        "rejected immediately with all endpoints disabled"
     );
     assert_eq!(harness.balancer.endpoint_counts(), (2, 2));
 }
 
-/// A dispatcher whose one endpoint is replaced by another every second, and the index of names beside it.
+/// A dispatcher and its name index, with a single endpoint that is replaced every second.
 struct ReplacedEndpoints {
     names: NameIndex,
     dispatcher: Dispatcher,
 }
 
 impl ReplacedEndpoints {
-    /// Lists a new endpoint in place of the last; returns its index and that of its pod.
+    /// Replaces the endpoint in the list; returns the index of the new endpoint and of its pod.
     fn replace(&mut self, round: u64) -> (EndpointId, usize) {
         let mut update =
             |number, state| (self.names).endpoint_update(number, state, ("a", ""), None, 0.0);
@@ -182,7 +183,7 @@
 }
 
 #[test]
-fn endpoints_that_are_replaced_for_ever_leave_no_names_and_no_records() {
+fn records_and_names_of_replaced_endpoints_are_removed() {
     let mut replaced = ReplacedEndpoints {
         names: NameIndex::from_settings(&json!({})).0,
         dispatcher: Dispatcher::new(default_settings(), 7),
@@ -202,11 +203,14 @@
         let (endpoint, pod) = replaced.replace(round);
         assert!(
             endpoint.index() < 70 && pod < 70,
-            "a minute's worth: {endpoint}, {pod}"
+            "indices are reused after about a minute: {endpoint}, {pod}"
+        );
+        assert_ne!(
+            endpoint, first,
+            "the index is not reused while an attempt is in flight"
         );
-        assert_ne!(endpoint, first, "its attempt is still in flight");
     }
-    // The late report finds the endpoint that it is about; once it is in, the index is free.
+    // Once the late result has arrived, the index may be reused.
     let result = AttemptResult {
         request: RequestId::new(3),
         attempt: 0,
@@ -222,7 +226,7 @@
     }));
 }
 
-/// Settings where clocks may differ by a margin.
+/// Settings in which listed start times may be wrong by an error.
 fn settings_with_start_error(start_time_error_ms: f64) -> Settings {
     Settings {
         start_time_error_ms,
@@ -230,7 +234,7 @@
     }
 }
 
-/// Two hundred requests a second, each answered after a tenth of a second.
+/// Sends 200 requests per second, each of which succeeds after 100 ms.
 fn send_steadily(harness: &mut Harness, requests: usize) {
     for _ in 0..requests {
         harness.send(0);
@@ -246,57 +250,58 @@
     }
 }
 
-/// Attempts in its first second to an endpoint that started just now and is listed as having started some time
-/// later, and its last start some time before; where clocks may differ by a margin.
-fn attempts_after_start(margin_ms: f64, last_start_ms: f64, listed_late_ms: f64) -> usize {
-    let mut harness = Harness::with_settings(settings_with_start_error(margin_ms), 4);
+/// The attempts to an endpoint in the second after its restart. The previous start was listed at
+/// `previous_start_ms` from the time of the list, and the restart is listed at `listed_error_ms` from its true time.
+/// Settings allow for an error of `error_ms`.
+fn attempts_after_restart(error_ms: f64, previous_start_ms: f64, listed_error_ms: f64) -> usize {
+    let mut harness = Harness::with_settings(settings_with_start_error(error_ms), 4);
     let now_ms = harness.checker.now_ms;
-    harness.update_endpoint(3, EndpointState::Ready, now_ms + last_start_ms);
+    harness.update_endpoint(3, EndpointState::Ready, now_ms + previous_start_ms);
     send_steadily(&mut harness, 4000);
     let start_ms = harness.checker.now_ms;
-    harness.update_endpoint(3, EndpointState::Ready, start_ms + listed_late_ms);
+    harness.update_endpoint(3, EndpointState::Ready, start_ms + listed_error_ms);
     send_steadily(&mut harness, 200);
     harness.checker.attempt_times(3, start_ms).len()
 }
 
-/// The operators' case h8b73cd: an endpoint 2.1 s after its start got six times what it could do, by proxies that
-/// a false start time told that it was warm. Here fifty a second are a warm one's; warming up it is able to do
-/// 28% of that within its first second, twice of which is allowed.
+/// A wrong start time in the list must not end slow start early and overload the endpoint. A warm endpoint gets 50
+/// requests per second; within the first second of slow start, capacity is at most 28% of that, and twice the
+/// capacity is allowed.
 #[test]
-fn a_start_that_is_listed_wrong_ends_no_slow_start() {
+fn a_wrong_listed_start_time_does_not_end_slow_start() {
     assert!(
-        (1..=28).contains(&attempts_after_start(12_000.0, -60_000.0, -11_000.0)),
+        (1..=28).contains(&attempts_after_restart(12_000.0, -60_000.0, -11_000.0)),
         "11 s too early"
     );
     assert!(
-        (1..=28).contains(&attempts_after_start(30_000.0, -5000.0, -28_000.0)),
-        "listed before its last start"
+        (1..=28).contains(&attempts_after_restart(30_000.0, -5000.0, -28_000.0)),
+        "listed before its previous start"
     );
     assert!(
-        (1..=28).contains(&attempts_after_start(12_000.0, -60_000.0, 11_000.0)),
+        (1..=28).contains(&attempts_after_restart(12_000.0, -60_000.0, 11_000.0)),
         "11 s too late"
     );
     assert!(
-        attempts_after_start(0.0, -60_000.0, -11_000.0) > 28,
-        "the case is one where clocks agree to differ"
+        attempts_after_restart(0.0, -60_000.0, -11_000.0) > 28,
+        "without an error margin, the wrong start time ends slow start"
     );
 }
 
-/// The most attempts in any second that an endpoint gets in its first eight, where it starts now.
+/// Starts an endpoint; returns its largest number of attempts in any one second of the next eight.
 fn busiest_second_after_start(harness: &mut Harness, endpoint: usize) -> usize {
     let start_ms = harness.checker.now_ms;
     harness.update_endpoint(endpoint, EndpointState::Ready, start_ms);
     harness.run(1600, 5.0, |_| SUCCESS);
     let times_ms = harness.checker.attempt_times(endpoint, start_ms);
-    most_within_a_second(&times_ms).unwrap_or(0)
+    max_within_one_second(&times_ms).unwrap_or(0)
 }
 
 #[test]
-fn an_endpoint_that_warms_up_is_not_overloaded() {
+fn an_endpoint_in_slow_start_is_not_overloaded() {
     let mut harness = Harness::new(4);
     harness.run(2000, 5.0, |_| SUCCESS);
-    // Two hundred requests a second over four endpoints bear fifty each; over eight seconds the new one is able
-    // to do 84% of that at most, twice of which is allowed. The module counts on half.
+    // A warm endpoint gets 50 requests per second; within eight seconds of slow start, capacity is at most 84% of
+    // that, and twice the capacity is allowed.
     let new = busiest_second_after_start(&mut harness, 4);
     assert!((1..=84).contains(&new), "{new} in a second");
     let restarted = busiest_second_after_start(&mut harness, 0);
@@ -304,7 +309,7 @@
 }
 
 #[test]
-fn a_restarted_endpoint_gets_more_than_a_new_one() {
+fn a_restarted_endpoint_gets_more_attempts_than_a_new_one() {
     let attempts = |endpoint: usize| {
         let mut harness = Harness::new(4);
         harness.run(2000, 5.0, |_| SUCCESS);
@@ -315,13 +320,16 @@
     };
     let restarted = attempts(0);
     let new = attempts(4);
-    assert!(restarted > new, "{restarted} and {new}");
+    assert!(
+        restarted > new,
+        "{restarted} attempts to the restarted endpoint, {new} to the new one"
+    );
 }
 
 #[test]
-fn hundreds_of_proxies_do_not_overload_an_endpoint_that_warms_up() {
-    // Every proxy takes two requests a second; forty endpoints bear ten each. The new one is able to do 20 to 40%
-    // of that in its first three seconds, twice of which is allowed in any second.
+fn hundreds_of_proxies_do_not_overload_an_endpoint_in_slow_start() {
+    // Each proxy gets two requests per second, which is ten per endpoint. In the first three seconds of slow start,
+    // capacity is 20% to 40% of that, and twice the capacity is allowed in any one second.
     let proxies = 200;
     let endpoints = 40;
     let mut times_ms = Vec::new();
@@ -334,6 +342,6 @@
         harness.run(6, 500.0, |_| SUCCESS);
         times_ms.extend(harness.checker.attempt_times(0, start_ms));
     }
-    let most = most_within_a_second(&times_ms);
+    let most = max_within_one_second(&times_ms);
     assert!((1..=8).contains(&most.unwrap_or(0)), "{most:?} in a second");
 }
--- a/tests/module/main.rs
+++ b/tests/module/main.rs
@@ -1,4 +1,4 @@
-//! Tests of the decision module alone, without any wire.
+//! Tests of the balancer without a network.
 
 mod admission;
 mod dispatcher;
--- a/tests/module/many_proxies.rs
+++ b/tests/module/many_proxies.rs
@@ -1,7 +1,7 @@
 //! Hundreds of proxies before the same endpoints, each seeing little traffic: what is harmless in one proxy must be
 //! harmless in all.
 
-use crate::support::{most_within_a_second, proxy_settings, ready_endpoints, Harness, SUCCESS};
+use crate::support::{max_within_one_second, proxy_settings, ready_endpoints, Harness, SUCCESS};
 use crankmux::settings::Settings;
 use crankmux::types::{AttemptOutcome, EndpointUpdate};
 use std::collections::BTreeMap;
@@ -155,7 +155,7 @@
     // seconds, twice of which is allowed in any second.
     for endpoint in [5, 15, 25, 35] {
         let times_ms = start.times_ms.get(&endpoint);
-        let most = times_ms.and_then(|times_ms| most_within_a_second(times_ms));
+        let most = times_ms.and_then(|times_ms| max_within_one_second(times_ms));
         assert!(most.unwrap_or(0) <= 9, "{most:?} in a second at {endpoint}");
     }
 }
--- a/tests/module/support/harness.rs
+++ b/tests/module/support/harness.rs
@@ -1,6 +1,6 @@
-//! A balancer and its rule checker, moved on together.
+//! Drives a balancer and its rule checker in virtual time.
 
-use super::rule_checker::{placement, Answer, RuleChecker, TrackedRequest};
+use super::rule_checker::{class_placements, Answer, RuleChecker, TrackedRequest};
 use super::settings::{default_settings, IDEMPOTENCY, MAX_ATTEMPTS};
 use super::{endpoint_update, ready_endpoints, TTL_MS};
 use crankmux::balancer::Balancer;
@@ -14,7 +14,7 @@
 const START_MS: f64 = 50_000.0;
 const DEFAULT_SEED: u64 = 7;
 
-/// A balancer and its checker, moved on together.
+/// A balancer with the rule checker that receives its actions, in virtual time.
 pub(crate) struct Harness {
     pub(crate) balancer: Balancer,
     pub(crate) checker: RuleChecker,
@@ -31,9 +31,9 @@
             .map_or(DEFAULT_SEED, |number| number as u64);
         let checker = RuleChecker {
             now_ms: START_MS,
-            one_at_a_time: !settings.hedging,
+            forbid_concurrent_attempts: !settings.hedging,
             max_attempts: MAX_ATTEMPTS,
-            placement: placement(&settings),
+            placements: class_placements(&settings),
             ..RuleChecker::default()
         };
         let balancer = Balancer::new(settings, seed);
@@ -45,10 +45,10 @@
     pub(crate) fn update_endpoints(
         &mut self,
         updates: &[EndpointUpdate],
-        whole: bool,
+        full: bool,
         cached: bool,
     ) {
-        if whole {
+        if full {
             for known in self.checker.endpoints.values_mut() {
                 known.state = EndpointState::Removed;
             }
@@ -60,10 +60,10 @@
         }
         let now_ms = self.checker.now_ms;
         self.balancer
-            .update_endpoints(&mut self.checker, now_ms, updates, whole, cached);
+            .update_endpoints(&mut self.checker, now_ms, updates, full, cached);
     }
 
-    /// One line of the endpoint list, as a change.
+    /// Sends the balancer a change of one entry of the endpoint list.
     pub(crate) fn update_endpoint(
         &mut self,
         endpoint: usize,
@@ -86,30 +86,30 @@
             .enable_endpoint(self.checker.now_ms, EndpointId::new(endpoint));
     }
 
-    /// New settings, in which the idempotency of the classes has moved on by so many.
+    /// Applies new settings, with the idempotency of the classes rotated by `idempotency_offset`.
     pub(crate) fn update_settings(
         &mut self,
         mut settings: Settings,
-        idempotency_shift: usize,
+        idempotency_offset: usize,
         max_attempts: usize,
     ) {
         for (index, class) in settings.classes.iter_mut().enumerate() {
-            class.idempotency = IDEMPOTENCY[(index + idempotency_shift) % 3];
+            class.idempotency = IDEMPOTENCY[(index + idempotency_offset) % 3];
         }
         settings.max_attempts = max_attempts as f64;
-        self.checker.placement = placement(&settings);
-        self.checker.idempotency_shift = idempotency_shift;
+        self.checker.placements = class_placements(&settings);
+        self.checker.idempotency_offset = idempotency_offset;
         self.checker.max_attempts = max_attempts;
         self.balancer.update_settings(settings);
     }
 
-    /// Lets time pass, and timers expire.
+    /// Advances the clock and fires the timers that are due.
     pub(crate) fn advance(&mut self, duration_ms: f64) {
         let until_ms = self.checker.now_ms + duration_ms;
         loop {
             let timers = self.checker.timers.iter().enumerate();
-            let first = timers.min_by(|a, b| a.1 .0.total_cmp(&b.1 .0));
-            let Some((index, (at_ms, timer))) = first.map(|(index, timer)| (index, *timer)) else {
+            let next = timers.min_by(|a, b| a.1 .0.total_cmp(&b.1 .0));
+            let Some((index, (at_ms, timer))) = next.map(|(index, timer)| (index, *timer)) else {
                 break;
             };
             if at_ms > until_ms {
@@ -124,9 +124,9 @@
         self.checker.now_ms = until_ms;
     }
 
-    /// A request of a class comes in; returns its index.
+    /// Sends the balancer a request of a class; returns its index.
     pub(crate) fn send(&mut self, class: usize) -> usize {
-        self.arrive(class, None, false, None)
+        self.send_request(class, None, false, None)
     }
 
     pub(crate) fn send_for_tenant(
@@ -135,14 +135,14 @@
         tenant: usize,
         client_retry: bool,
     ) -> usize {
-        self.arrive(class, Some(tenant), client_retry, None)
+        self.send_request(class, Some(tenant), client_retry, None)
     }
 
     pub(crate) fn send_with_key(&mut self, class: usize, key: Option<u64>) -> usize {
-        self.arrive(class, None, false, key)
+        self.send_request(class, None, false, key)
     }
 
-    fn arrive(
+    fn send_request(
         &mut self,
         class: usize,
         tenant: Option<usize>,
@@ -152,10 +152,10 @@
         let request = self.checker.requests.len();
         let now_ms = self.checker.now_ms;
         self.checker.requests.push(TrackedRequest {
-            idempotency: IDEMPOTENCY[(class + self.checker.idempotency_shift) % 3],
+            idempotency: IDEMPOTENCY[(class + self.checker.idempotency_offset) % 3],
             max_attempts: self.checker.max_attempts,
             class,
-            placement: self.checker.placement[class].clone(),
+            placement: self.checker.placements[class].clone(),
             deadline_ms: now_ms + TTL_MS,
             ..TrackedRequest::default()
         });
@@ -187,7 +187,7 @@
         let tracked = &mut self.checker.requests[request];
         let ended = &mut tracked.attempts[attempt];
         ended.in_flight = false;
-        ended.may_have_run = !outcome.never_executed();
+        ended.may_have_executed = !outcome.never_executed();
         let duration_ms = now_ms - ended.sent_at_ms;
         if outcome == AttemptOutcome::Succeeded && tracked.answers.is_empty() {
             tracked.answers.push(Answer::Succeeded);
@@ -204,19 +204,19 @@
             .attempt_ended(&mut self.checker, now_ms, &result);
     }
 
-    /// A long body is streamed to or from the endpoint of an attempt.
-    pub(crate) fn streaming(&mut self, request: usize, attempt: usize, endpoint_works: bool) {
+    /// Reports that a long body is being streamed to or from the endpoint of an attempt.
+    pub(crate) fn streaming(&mut self, request: usize, attempt: usize, executing: bool) {
         let now_ms = self.checker.now_ms;
         self.balancer
-            .streaming(now_ms, RequestId::new(request), attempt, endpoint_works);
+            .streaming(now_ms, RequestId::new(request), attempt, executing);
     }
 
-    /// Answers all probes that are out: what each endpoint holds, or nothing.
-    pub(crate) fn answer_probes(&mut self, held: impl Fn(usize) -> Option<f64>) -> Vec<usize> {
+    /// Responds to all pending probes with the endpoint's requests in flight; `None` fails the probe.
+    pub(crate) fn answer_probes(&mut self, in_flight: impl Fn(usize) -> Option<f64>) -> Vec<usize> {
         let probes = std::mem::take(&mut self.checker.probes);
         for endpoint in &probes {
-            let load = held(*endpoint).map(|held| LoadReport {
-                in_flight: Some(held),
+            let load = in_flight(*endpoint).map(|in_flight| LoadReport {
+                in_flight: Some(in_flight),
                 ..LoadReport::default()
             });
             let now_ms = self.checker.now_ms;
@@ -226,7 +226,7 @@
         probes
     }
 
-    /// Ends what is in flight, with an outcome by endpoint; attempts without one stay in flight.
+    /// Ends attempts in flight with the outcome for their endpoint; `None` leaves them in flight.
     pub(crate) fn end_attempts(&mut self, outcome: impl Fn(usize) -> Option<AttemptOutcome>) {
         for (request, attempt) in self.in_flight() {
             let endpoint = self.checker.requests[request].attempts[attempt].endpoint;
@@ -236,7 +236,7 @@
         }
     }
 
-    /// The attempts in flight, by request and number.
+    /// The attempts in flight, as request and attempt number.
     pub(crate) fn in_flight(&self) -> Vec<(usize, usize)> {
         let requests = self.checker.requests.iter().enumerate();
         requests
@@ -249,7 +249,7 @@
             .collect()
     }
 
-    /// Requests one after the other, each ended after an interval; returns how many attempts each endpoint got.
+    /// Sends requests at an interval, ending attempts after each one; returns the number of attempts per endpoint.
     pub(crate) fn run(
         &mut self,
         requests: usize,
--- a/tests/module/support/mod.rs
+++ b/tests/module/support/mod.rs
@@ -1,4 +1,4 @@
-//! Helpers that the tests share.
+//! Shared test helpers.
 
 mod harness;
 mod rule_checker;
@@ -17,8 +17,8 @@
 pub(crate) const SUCCESS: Option<AttemptOutcome> = Some(AttemptOutcome::Succeeded);
 pub(crate) const TTL_MS: f64 = 1000.0;
 
-/// A line of the endpoint list. Endpoints stand in pods of three, in two zones by turns, and on three machine
-/// classes by turns.
+/// An entry of the endpoint list. Pods have three consecutive endpoints; zones (two) and machine classes (three)
+/// alternate.
 pub(crate) fn endpoint_update(
     endpoint: usize,
     state: EndpointState,
@@ -35,21 +35,21 @@
     }
 }
 
-/// The lines of so many endpoints that have been ready for long.
+/// Entries for endpoints that have been ready for a long time.
 pub(crate) fn ready_endpoints(count: usize) -> Vec<EndpointUpdate> {
     (0..count)
         .map(|endpoint| endpoint_update(endpoint, EndpointState::Ready, 0.0))
         .collect()
 }
 
-/// So many generated cases, the same at each run.
+/// A QuickCheck with a fixed seed, so that each run tests the same cases.
 pub(crate) fn quickcheck_with(cases: u64) -> QuickCheck {
     let generator = Gen::from_size_and_seed(200, 20_261_201);
     QuickCheck::new().tests(cases).rng(generator)
 }
 
-/// The most times that lie within a second of each other; none where there are none.
-pub(crate) fn most_within_a_second(times_ms: &[f64]) -> Option<usize> {
+/// The largest number of the given times within any one second; `None` if there are no times.
+pub(crate) fn max_within_one_second(times_ms: &[f64]) -> Option<usize> {
     let within = |from: f64| {
         times_ms
             .iter()
--- a/tests/module/support/rule_checker.rs
+++ b/tests/module/support/rule_checker.rs
@@ -1,11 +1,11 @@
-//! A slow and plain checker of the rules, which stands where the network does.
+//! Takes the place of the network and checks each action of the balancer against a simple model of the rules.
 
 use super::settings::{DEDUPLICATION_WINDOW_MS, MAX_RETRY_AFTER_MS};
 use crankmux::settings::{PlacementSet, Settings};
 use crankmux::types::{Actions, EndpointId, EndpointState, EndpointUpdate, Idempotency, RequestId};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The final answer to a request.
+/// The final response to a request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum Answer {
     Succeeded,
@@ -13,25 +13,25 @@
     Failed,
 }
 
-/// An attempt, as the checker saw it.
+/// An attempt started by the balancer.
 pub(crate) struct TrackedAttempt {
     pub(crate) endpoint: usize,
     pub(crate) sent_at_ms: f64,
-    pub(crate) may_have_run: bool,
+    pub(crate) may_have_executed: bool,
     pub(crate) in_flight: bool,
 }
 
-/// The zones and the machine classes that a request class is bound to.
+/// The zones and the machine classes allowed for a request class; `None` allows all.
 pub(crate) type Placement = [Option<PlacementSet>; 2];
 
-pub(super) fn placement(settings: &Settings) -> Vec<Placement> {
+pub(super) fn class_placements(settings: &Settings) -> Vec<Placement> {
     let classes = settings.classes.iter();
     classes
         .map(|class| [class.zones.clone(), class.machine_classes.clone()])
         .collect()
 }
 
-/// A request, with the terms of its class as they stood when it came.
+/// A request, with the settings of its class when it arrived.
 #[derive(Default)]
 pub(crate) struct TrackedRequest {
     pub(crate) idempotency: Idempotency,
@@ -49,7 +49,7 @@
     }
 }
 
-/// What was done, checked against the rules as it happens.
+/// Records all requests and attempts, and panics when an action breaks a rule.
 #[derive(Default)]
 pub(crate) struct RuleChecker {
     pub(crate) now_ms: f64,
@@ -60,34 +60,34 @@
     pub(crate) polls: usize,
     pub(crate) probes: Vec<usize>,
     pub(super) disabled: BTreeSet<usize>,
-    /// By how many classes their idempotency has moved on.
-    pub(super) idempotency_shift: usize,
+    /// Class `i` has `IDEMPOTENCY[(i + idempotency_offset) % 3]`.
+    pub(super) idempotency_offset: usize,
     pub(super) max_attempts: usize,
-    /// Whether no two attempts of a request may be in flight.
-    pub(super) one_at_a_time: bool,
-    /// Where each class may run, by the settings in force.
-    pub(super) placement: Vec<Placement>,
+    /// Whether a request may have only one attempt in flight at a time.
+    pub(super) forbid_concurrent_attempts: bool,
+    /// The placement of each class in the current settings.
+    pub(super) placements: Vec<Placement>,
 }
 
 impl RuleChecker {
     fn answer(&mut self, request: usize, answer: Answer) {
         let request = &mut self.requests[request];
-        assert!(request.answers.is_empty(), "a second final answer");
+        assert!(request.answers.is_empty(), "a second final response");
         assert!(
             self.now_ms <= request.deadline_ms + 20.0,
-            "an answer after the deadline"
+            "a final response after the deadline"
         );
         request.answers.push(answer);
     }
 
-    /// The attempts that were sent from the given request on.
+    /// The attempts of the given request and all later ones.
     pub(crate) fn attempts_since(&self, request: usize) -> impl Iterator<Item = &TrackedAttempt> {
         self.requests[request..]
             .iter()
             .flat_map(|request| &request.attempts)
     }
 
-    /// How many of them each endpoint got.
+    /// The number of those attempts per endpoint.
     pub(crate) fn count_attempts_since(&self, request: usize) -> BTreeMap<usize, usize> {
         let mut counts = BTreeMap::new();
         for attempt in self.attempts_since(request) {
@@ -96,7 +96,7 @@
         counts
     }
 
-    /// When an endpoint got attempts, from a time on.
+    /// The start times of attempts to an endpoint, from `from_ms` on.
     pub(crate) fn attempt_times(&self, endpoint: usize, from_ms: f64) -> Vec<f64> {
         let attempts = self.attempts_since(0);
         attempts
@@ -106,16 +106,16 @@
     }
 
     fn check_placement(&self, request: &TrackedRequest, endpoint: &EndpointUpdate) {
-        for [zones, machine_classes] in [&request.placement, &self.placement[request.class]] {
+        for [zones, machine_classes] in [&request.placement, &self.placements[request.class]] {
             let zones = zones.as_ref();
             assert!(
                 zones.is_none_or(|allowed| allowed.contains(&endpoint.zone)),
-                "an attempt to a closed zone"
+                "an attempt to a zone that the class is not allowed in"
             );
             let machine_classes = machine_classes.as_ref();
             assert!(
                 machine_classes.is_none_or(|allowed| allowed.contains(&endpoint.machine_class)),
-                "an attempt to a closed machine class"
+                "an attempt to a machine class that the request class is not allowed on"
             );
         }
     }
@@ -123,7 +123,7 @@
     fn check_endpoint(&self, endpoint: &EndpointUpdate) {
         assert!(
             endpoint.state == EndpointState::Ready,
-            "an attempt to an endpoint that drains or is gone"
+            "an attempt to a draining or removed endpoint"
         );
         assert!(
             !self.disabled.contains(&endpoint.endpoint.index()),
@@ -131,32 +131,36 @@
         );
     }
 
-    fn check_repeat(&self, request: &TrackedRequest, endpoint: &EndpointUpdate) {
+    fn check_retry(&self, request: &TrackedRequest, endpoint: &EndpointUpdate) {
         assert!(
             request.attempts.len() < request.max_attempts,
-            "an attempt too many"
+            "more attempts than allowed"
         );
         assert!(
-            !self.one_at_a_time || request.attempts.iter().all(|attempt| !attempt.in_flight),
-            "two attempts in flight"
+            !self.forbid_concurrent_attempts
+                || request.attempts.iter().all(|attempt| !attempt.in_flight),
+            "two attempts in flight without hedging"
         );
         for earlier in request
             .attempts
             .iter()
-            .filter(|attempt| attempt.may_have_run)
+            .filter(|attempt| attempt.may_have_executed)
         {
             match request.idempotency {
                 Idempotency::Idempotent => {}
                 Idempotency::IdempotentWithKey => {
                     let pod = self.endpoints[&earlier.endpoint].pod;
-                    assert!(pod == endpoint.pod, "a repeat outside its pod");
+                    assert!(
+                        pod == endpoint.pod,
+                        "a retry outside the pod of an attempt that may have executed"
+                    );
                     assert!(
                         self.now_ms - earlier.sent_at_ms <= DEDUPLICATION_WINDOW_MS,
-                        "a repeat outside its window"
+                        "a retry after the deduplication window"
                     );
                 }
                 Idempotency::NotIdempotent => {
-                    panic!("a request that is not idempotent may run twice")
+                    panic!("a non-idempotent request may be executed twice")
                 }
             }
         }
@@ -172,14 +176,14 @@
         self.check_placement(request, update);
         assert!(
             request.answers.is_empty() && self.now_ms < request.deadline_ms && timeout_ms > 0.0,
-            "an attempt after the end"
+            "an attempt after the final response or the deadline, or with a zero timeout"
         );
         self.check_endpoint(update);
-        self.check_repeat(request, update);
+        self.check_retry(request, update);
         self.requests[id].attempts.push(TrackedAttempt {
             endpoint,
             sent_at_ms: self.now_ms,
-            may_have_run: true,
+            may_have_executed: true,
             in_flight: true,
         });
     }
@@ -188,7 +192,7 @@
         let endpoint = endpoint.index();
         assert!(
             self.endpoints.contains_key(&endpoint),
-            "a probe of an endpoint never listed"
+            "a probe of an endpoint that was never listed"
         );
         assert!(
             !self.disabled.contains(&endpoint),
@@ -200,16 +204,22 @@
     fn cancel(&mut self, request: RequestId, attempt: usize) {
         assert!(
             attempt < self.requests[request.index()].attempts.len(),
-            "a cancel of an attempt never made"
+            "cancellation of an attempt that was never started"
         );
     }
 
     fn reject(&mut self, request: RequestId, retry_after_ms: f64) {
         let id = request.index();
         let request = &self.requests[id];
-        let may_have_run = request.attempts.iter().any(|attempt| attempt.may_have_run);
-        let harmless = request.idempotency == Idempotency::Idempotent || !may_have_run;
-        assert!(harmless, "a rejection of what may have run");
+        let may_have_executed = request
+            .attempts
+            .iter()
+            .any(|attempt| attempt.may_have_executed);
+        let is_safe = request.idempotency == Idempotency::Idempotent || !may_have_executed;
+        assert!(
+            is_safe,
+            "rejection of a request that may have been executed"
+        );
         assert!((0.0..=MAX_RETRY_AFTER_MS).contains(&retry_after_ms));
         self.answer(id, Answer::Rejected);
     }
--- a/tests/module/support/settings.rs
+++ b/tests/module/support/settings.rs
@@ -1,10 +1,10 @@
-//! Settings for tests, typed and in the wire's form.
+//! Test settings, typed and in the wire format.
 
 use crankmux::settings::{ClassSettings, Settings, SlowStartSettings};
 use crankmux::types::{DeduplicationScope, Idempotency};
 use serde_json::{json, Value};
 
-/// Of the three request classes.
+/// The idempotency of each of the three request classes.
 pub(crate) const IDEMPOTENCY: [Idempotency; 3] = [
     Idempotency::Idempotent,
     Idempotency::IdempotentWithKey,
@@ -14,7 +14,7 @@
 pub(crate) const MAX_ATTEMPTS: usize = 4;
 pub(crate) const MAX_RETRY_AFTER_MS: f64 = 500.0;
 
-/// Three request classes, one of each idempotency; the endpoints of a pod drop the repeats of the second.
+/// Three request classes, one of each idempotency; endpoints deduplicate requests with a key within a pod.
 pub(crate) fn default_settings() -> Settings {
     let class = |idempotency| ClassSettings {
         idempotency,
@@ -55,7 +55,7 @@
     }
 }
 
-/// Settings of one proxy of many.
+/// Settings for one of `count` proxies.
 pub(crate) fn proxy_settings(number: usize, count: usize) -> Settings {
     Settings {
         proxy_count: count as f64,
@@ -64,7 +64,7 @@
     }
 }
 
-/// Settings where endpoints report their load only to probes and keep work by key, and nothing is hedged.
+/// Settings with load reports only in response to probes, key affinity, and no hedging.
 pub(crate) fn probing_settings() -> Settings {
     Settings {
         load_by_probes: true,
@@ -74,7 +74,7 @@
     }
 }
 
-/// Settings where one class is bound to a zone, one to machine classes, and one to neither.
+/// Settings with class 2 restricted to a zone and class 1 to machine classes.
 pub(crate) fn placed_settings(zone: usize, machine_classes: &[usize]) -> Settings {
     let mut settings = default_settings();
     settings.classes[2].zones = Some([zone].into());
@@ -82,7 +82,7 @@
     settings
 }
 
-/// Settings in the wire's form, with one request class.
+/// Wire-format settings with one request class.
 pub(crate) fn wire_settings(class: &Value) -> Value {
     let mut class = class.clone();
     for (key, value) in [
@@ -98,13 +98,13 @@
             "StopSendingWithinMs": 100}})
 }
 
-/// Settings in the wire's form that lack one of the obligations.
+/// Wire-format settings without one of the required `Obligations`.
 pub(crate) fn wire_settings_without(obligation: &str) -> Value {
     let mut settings = wire_settings(&json!({}));
     let obligations = settings["Obligations"].as_object_mut();
     obligations
-        .expect("an object")
+        .expect("Obligations is an object")
         .remove(obligation)
-        .expect("a known key");
+        .expect("the obligation is set");
     settings
 }
