--- a/tests/module/invariants.rs
+++ b/tests/module/invariants.rs
@@ -1,4 +1,4 @@
-//! The rule checker beside the balancer, on generated events.
+//! Property test: no sequence of events makes the balancer break a rule.
 
 use crate::support::{
     default_settings, placed_settings, probing_settings, quickcheck_with, ready_endpoints, Harness,
@@ -22,13 +22,13 @@
     EndpointState::Draining,
     EndpointState::Removed,
 ];
-/// Of the generated events, one in so many is of each kind.
+/// The kind of a generated event is taken modulo this number.
 const KINDS: u8 = 20;
 
-/// The kind of an event, and two numbers that say more of it.
+/// The kind of an event, and two numbers that serve as its parameters.
 type GeneratedEvent = (u8, u8, u8);
 
-/// Whatever comes, in whatever order, the checker finds no rule broken and every request has one answer.
+/// Whether every request gets exactly one final response; the rule checker panics if a rule is broken.
 fn rules_hold(events: Vec<GeneratedEvent>) -> bool {
     [
         default_settings(),
@@ -99,7 +99,7 @@
     in_flight.get(number % in_flight.len().max(1)).copied()
 }
 
-/// Ids no longer held, results after the end, timers never set: all harmless.
+/// Reports events for unknown ids, which must have no effect.
 fn apply_unknown_ids(harness: &mut Harness) {
     const UNKNOWN_REQUEST: RequestId = RequestId::new(usize::MAX);
     const UNKNOWN_ENDPOINT: EndpointId = EndpointId::new(usize::MAX);
@@ -117,12 +117,12 @@
     );
 }
 
-/// Whoever sends an attempt ends it at the deadline of its request.
+/// Ends each attempt at the deadline of its request, as the network code does.
 fn end_overdue_attempts(harness: &mut Harness) {
     for (request, attempt) in harness.in_flight() {
         let deadline_ms = harness.checker.requests[request].deadline_ms;
         if harness.checker.now_ms >= deadline_ms {
-            // What the checker sees late only because time was moved on in one stride counts as at its time.
+            // The clock may have advanced past the deadline in one step, so the attempt ends as of the deadline.
             let now_ms = std::mem::replace(&mut harness.checker.now_ms, deadline_ms);
             harness.end_attempt(request, attempt, AttemptOutcome::TimedOut);
             harness.checker.now_ms = now_ms;
--- a/tests/module/load_reports.rs
+++ b/tests/module/load_reports.rs
@@ -1,4 +1,4 @@
-//! What reports that come with answers, buffered responses and keys make of the draw.
+//! Load reports in responses, a limited number of buffered responses, and key affinity.
 
 use crate::support::{default_settings, proxy_settings, Answer, Harness, SUCCESS, TTL_MS};
 use crankmux::settings::Settings;
@@ -12,11 +12,12 @@
     }
 }
 
-/// A request each 25 ms, answered after 100 with such a use of cores; how many each endpoint got.
+/// Sends a request every 25 ms, each of which succeeds after 100 ms with its endpoint's CPU utilization in the load
+/// report. Returns the number of attempts per endpoint.
 fn run_with_reports(
     harness: &mut Harness,
     requests: usize,
-    report: impl Fn(usize) -> Option<f64>,
+    utilization: impl Fn(usize) -> Option<f64>,
 ) -> BTreeMap<usize, usize> {
     let from = harness.checker.requests.len();
     for round in 0..requests {
@@ -29,9 +30,9 @@
         let due: Vec<_> = harness.in_flight().into_iter().filter(is_due).collect();
         for (request, attempt) in due {
             let endpoint = harness.checker.requests[request].attempts[attempt].endpoint;
-            // A little noise, or the report would look like the last one.
-            let used = report(endpoint).map(|used| used + (round % 5) as f64 / 1000.0);
-            let load = utilization_report(used);
+            // Noise, as a report is new only if it differs from the last one.
+            let reported = utilization(endpoint).map(|value| value + (round % 5) as f64 / 1000.0);
+            let load = utilization_report(reported);
             harness.end_attempt_with_load(request, attempt, AttemptOutcome::Succeeded, load);
         }
     }
@@ -39,27 +40,27 @@
 }
 
 #[test]
-fn use_of_the_cores_alone_tells_what_is_held() {
-    let to_first = |report: fn(usize) -> Option<f64>| {
+fn an_endpoint_that_reports_only_high_cpu_utilization_gets_less_traffic() {
+    let sent_to_first = |utilization: fn(usize) -> Option<f64>| {
         let mut harness = Harness::with_settings(proxy_settings(0, 3), 4);
-        run_with_reports(&mut harness, 400, report);
-        let counts = run_with_reports(&mut harness, 400, report);
+        run_with_reports(&mut harness, 400, utilization);
+        let counts = run_with_reports(&mut harness, 400, utilization);
         counts.get(&0).copied().unwrap_or(0)
     };
-    let full = to_first(|endpoint| Some(if endpoint == 0 { 0.99 } else { 0.1 }));
-    let silent = to_first(|_| None);
+    let busy = sent_to_first(|endpoint| Some(if endpoint == 0 { 0.99 } else { 0.1 }));
+    let without_reports = sent_to_first(|_| None);
     assert!(
-        full * 3 < silent * 2,
-        "{full} of 400 to the busy one, {silent} where none reports"
+        busy * 3 < without_reports * 2,
+        "{busy} of 400 to the busy endpoint, {without_reports} without reports"
     );
 }
 
 #[test]
-fn own_attempts_of_one_of_many_proxies_fill_no_endpoint_that_reports_otherwise() {
-    // One attempt in flight of a proxy of thirty before four endpoints looks like six of a limit of five.
-    let in_flight = |report: Option<f64>| {
+fn a_proxy_among_many_does_not_count_its_own_attempts_against_reports_of_idle_endpoints() {
+    // With 30 proxies and 4 endpoints, one own attempt in flight is extrapolated to six, over a limit of five.
+    let in_flight = |utilization: Option<f64>| {
         let mut harness = Harness::with_settings(proxy_settings(0, 30), 4);
-        run_with_reports(&mut harness, 100, |_| report);
+        run_with_reports(&mut harness, 100, |_| utilization);
         while !harness.in_flight().is_empty() {
             harness.end_attempts(|_| SUCCESS);
         }
@@ -69,16 +70,16 @@
         harness.in_flight().len()
     };
     let idle = in_flight(Some(0.1));
-    let silent = in_flight(None);
-    let full = in_flight(Some(0.99));
+    let without_reports = in_flight(None);
+    let busy = in_flight(Some(0.99));
     assert!(
-        idle > silent && full <= silent,
-        "{idle} in flight where all report that they are idle, {silent}, {full}"
+        idle > without_reports && busy <= without_reports,
+        "in flight: {idle} if all are idle, {without_reports} without reports, {busy} if all are busy"
     );
 }
 
-/// A proxy that can buffer a few responses, and has one class of which late answers are worth so much.
-fn few_buffers(late_weight: f64) -> Settings {
+/// Settings with few response buffers and a weight for late responses of class 0.
+fn few_buffers_settings(late_weight: f64) -> Settings {
     let mut settings = default_settings();
     settings.few_buffered_responses = true;
     settings.classes[0].late_weight = late_weight;
@@ -86,8 +87,8 @@
 }
 
 #[test]
-fn a_request_that_is_worth_nothing_any_more_gives_its_place_back() {
-    let mut harness = Harness::with_settings(few_buffers(0.0), 2);
+fn a_late_request_without_value_is_rejected_when_buffers_are_few() {
+    let mut harness = Harness::with_settings(few_buffers_settings(0.0), 2);
     let first = harness.send(0);
     let other = harness.send(2);
     harness.advance(399.0);
@@ -100,36 +101,36 @@
     );
     assert!(
         harness.checker.requests[other].answers.is_empty(),
-        "one that is not idempotent may still succeed"
+        "a non-idempotent request may still succeed"
     );
-    for settings in [default_settings(), few_buffers(0.2)] {
+    for settings in [default_settings(), few_buffers_settings(0.2)] {
         let mut harness = Harness::with_settings(settings, 2);
         let request = harness.send(0);
         harness.advance(TTL_MS - 10.0);
         assert!(
             harness.checker.requests[request].answers.is_empty(),
-            "where late answers are worth something they are waited for"
+            "a late response that still has value is awaited"
         );
     }
 }
 
 #[test]
-fn a_long_response_on_its_way_is_not_ended() {
-    let mut harness = Harness::with_settings(few_buffers(0.0), 2);
+fn a_response_being_streamed_is_not_aborted() {
+    let mut harness = Harness::with_settings(few_buffers_settings(0.0), 2);
     let request = harness.send(0);
     harness.advance(100.0);
     harness.streaming(request, 0, false);
     harness.advance(500.0);
     assert!(
         harness.checker.requests[request].answers.is_empty(),
-        "its client reads it"
+        "the client is reading the response"
     );
 }
 
-/// How many of ten requests at once are sent after thirty that were ended at their latency objective, by an
-/// endpoint that reports so much use of its cores with other answers.
-fn sent_after_abandoned(cpu_utilization: f64) -> usize {
-    let mut harness = Harness::with_settings(few_buffers(0.0), 1);
+/// The number of attempts in flight after ten simultaneous requests, which follow 30 requests abandoned at their
+/// latency objective. The endpoint reports the given CPU utilization in its other responses.
+fn in_flight_after_abandoned_requests(cpu_utilization: f64) -> usize {
+    let mut harness = Harness::with_settings(few_buffers_settings(0.0), 1);
     for round in 0..30 {
         let slow = harness.send(0);
         let other = harness.send(2);
@@ -150,12 +151,12 @@
 }
 
 #[test]
-fn requests_ended_at_their_objective_cut_limits_but_those_of_endpoints_whose_cores_are_free() {
-    let free = sent_after_abandoned(0.2);
-    let full = sent_after_abandoned(0.97);
+fn abandoned_requests_reduce_the_limit_unless_cpu_utilization_is_low() {
+    let idle = in_flight_after_abandoned_requests(0.2);
+    let busy = in_flight_after_abandoned_requests(0.97);
     assert!(
-        free >= 4 && full <= 2,
-        "{free} of 10 in flight where cores were free, {full} where they were not"
+        idle >= 4 && busy <= 2,
+        "{idle} of 10 in flight with low CPU utilization, {busy} with high"
     );
 }
 
@@ -166,7 +167,7 @@
     }
 }
 
-/// The most of 200 requests that one endpoint gets, and that endpoint.
+/// The largest number of 200 requests that one endpoint gets, and the index of that endpoint.
 fn busiest_endpoint(settings: Settings, key: Option<u64>) -> (usize, usize) {
     let mut harness = Harness::with_settings(settings, 8);
     let mut counts: BTreeMap<usize, usize> = BTreeMap::new();
@@ -178,33 +179,33 @@
         harness.end_attempts(|_| SUCCESS);
     }
     let busiest = counts.into_iter().map(|(id, count)| (count, id)).max();
-    busiest.expect("all were sent")
+    busiest.expect("all requests were sent")
 }
 
 #[test]
-fn requests_of_a_key_meet_at_one_endpoint_where_answers_carry_reports() {
+fn requests_with_the_same_key_go_to_the_same_endpoint() {
     let settings = |number| with_key_affinity(proxy_settings(number, 16));
     let (count, endpoint) = busiest_endpoint(settings(0), Some(77));
-    assert!(count >= 140, "{count} of 200 at its first");
+    assert!(count >= 140, "{count} of 200 to the preferred endpoint");
     assert_eq!(
         busiest_endpoint(settings(2), Some(77)).1,
         endpoint,
-        "alike at every proxy that hears of all"
+        "the same endpoint on another proxy"
     );
     assert!(
         busiest_endpoint(proxy_settings(0, 16), Some(77)).0 < 80,
-        "at none where endpoints keep nothing by key"
+        "no preferred endpoint without key affinity"
     );
     assert!(
         busiest_endpoint(settings(0), None).0 < 80,
-        "nor for a request without a key"
+        "no preferred endpoint for requests without a key"
     );
 }
 
-/// Twenty-five requests a second over forty endpoints: what a proxy says that each once bore, in all, is what the
-/// slow-start budgets of all proxies add up to.
+/// The slow-start budgets of all proxies add up from their estimates of peak throughput, so these must not exceed the
+/// actual 25 requests per second in total.
 #[test]
-fn proxies_that_hear_little_of_each_endpoint_overrate_none() {
+fn few_samples_per_endpoint_do_not_inflate_peak_throughput() {
     let settings = with_key_affinity(proxy_settings(3, 20));
     let mut harness = Harness::with_settings(settings, 40);
     harness.run(1500, 40.0, |_| SUCCESS);
@@ -216,6 +217,6 @@
     let total: f64 = peaks.sum();
     assert!(
         (0.01..0.036).contains(&total),
-        "{total} a millisecond, of 0.025 that all bore"
+        "{total} requests per millisecond, of an actual 0.025"
     );
 }
--- a/tests/module/placement.rs
+++ b/tests/module/placement.rs
@@ -1,4 +1,4 @@
-//! Request classes that are bound to zones or machine classes.
+//! Request classes that are restricted to zones or machine classes.
 
 use crate::support::{
     endpoint_update, placed_settings, proxy_settings, ready_endpoints, wire_settings, Answer,
@@ -9,7 +9,7 @@
 use crankmux::types::{AttemptOutcome, EndpointState};
 use serde_json::{json, Value};
 
-/// The endpoints that a number of requests of a class went to, each ended with an outcome by endpoint.
+/// Sends requests of a class and ends all attempts with their endpoint's outcome; returns the endpoints that got any.
 fn endpoints_of(
     harness: &mut Harness,
     class: usize,
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn a_bound_class_goes_to_its_places_alone_whatever_befalls_them() {
+fn a_restricted_class_never_leaves_its_zones_and_machine_classes() {
     let mut harness = Harness::with_settings(placed_settings(1, &[0]), 6);
     assert_eq!(endpoints_of(&mut harness, 2, 60, |_| SUCCESS), [1, 3, 5]);
     assert_eq!(endpoints_of(&mut harness, 1, 60, |_| SUCCESS), [0, 3]);
@@ -42,7 +42,7 @@
     let endpoints = endpoints_of(&mut harness, 2, 30, rejected);
     assert!(
         endpoints.iter().all(|endpoint| endpoint % 2 == 1),
-        "retries as well"
+        "retries stay in the zone"
     );
     let changes = [
         endpoint_update(1, EndpointState::Draining, 0.0),
@@ -54,17 +54,17 @@
     assert_eq!(
         attempts_and_answers(&harness, request),
         (0, &[Answer::Rejected][..]),
-        "given up at once"
+        "rejected immediately"
     );
     assert!(
         !endpoints_of(&mut harness, 0, 20, |_| SUCCESS).is_empty(),
-        "others go where they did"
+        "other classes are still sent"
     );
 }
 
 #[test]
-fn a_bound_class_finds_its_places_outside_of_the_subset() {
-    // One endpoint of fifty stands in the zone; hardly any of a hundred proxies has it in its subset.
+fn a_restricted_class_uses_endpoints_outside_the_subset() {
+    // Only one of 50 endpoints is in the zone, and few of 100 proxies have it in their subset.
     for number in 0..20 {
         let mut settings = proxy_settings(number, 100);
         settings.classes[2].zones = Some([7].into());
@@ -77,7 +77,7 @@
 }
 
 #[test]
-fn new_settings_open_nothing_to_a_request_under_way() {
+fn new_settings_do_not_extend_the_placement_of_a_request_in_flight() {
     let mut harness = Harness::with_settings(placed_settings(1, &[0]), 6);
     let request = harness.send(2);
     harness.update_settings(placed_settings(0, &[0]), 0, MAX_ATTEMPTS);
@@ -88,22 +88,22 @@
     );
 }
 
-/// Whether a request of a class bound like this goes to an endpoint that stands there.
-fn is_sent(class: &Value, place: (&str, &str)) -> bool {
+/// Whether a request of the class is sent to an endpoint in this zone and machine class.
+fn is_sent(class: &Value, location: (&str, &str)) -> bool {
     let settings = wire_settings(class);
     let (mut names, typed) = NameIndex::from_settings(&settings);
-    validate(&settings).expect("nothing is faulty");
+    validate(&settings).expect("valid settings");
     let mut harness = Harness::new(0);
-    harness.balancer = Balancer::new(typed.expect("all is given"), 1);
-    let update = names.endpoint_update(9, EndpointState::Ready, place, None, 0.0);
+    harness.balancer = Balancer::new(typed.expect("complete settings"), 1);
+    let update = names.endpoint_update(9, EndpointState::Ready, location, None, 0.0);
     harness.update_endpoints(&[update], true, false);
     harness.send(0);
     harness.in_flight().len() == 1
 }
 
 #[test]
-fn names_that_no_endpoint_has_open_no_other() {
-    let places = [("east", "fast"), ("west", "fast"), ("", "")];
+fn unknown_names_allow_no_endpoint() {
+    let locations = [("east", "fast"), ("west", "fast"), ("", "")];
     for (class, sent) in [
         (json!({"ZonesAllowed": ["nowhere"]}), [false; 3]),
         (json!({"ZonesAllowed": []}), [false; 3]),
@@ -115,20 +115,24 @@
         ),
         (json!({"ZonesAllowed": null}), [true; 3]),
     ] {
-        for (place, sent) in places.into_iter().zip(sent) {
-            assert_eq!(is_sent(&class, place), sent, "{class} before {place:?}");
+        for (location, sent) in locations.into_iter().zip(sent) {
+            assert_eq!(
+                is_sent(&class, location),
+                sent,
+                "{class} with an endpoint at {location:?}"
+            );
         }
     }
 }
 
 #[test]
-fn lists_that_hold_no_names_are_refused() {
-    for (key, faulty) in [
+fn invalid_lists_of_names_are_rejected() {
+    for (key, class) in [
         ("ZonesAllowed", json!({"ZonesAllowed": "east"})),
         ("AllowedOn", json!({"AllowedOn": [3]})),
         ("AllowedOn", json!({"AllowedOn": [""]})),
     ] {
-        let error = validate(&wire_settings(&faulty)).expect_err("a faulty list");
+        let error = validate(&wire_settings(&class)).expect_err("an invalid list");
         assert!(error.to_string().contains(key), "{error}");
     }
 }
