--- a/tests/module/probing.rs
+++ b/tests/module/probing.rs
@@ -1,4 +1,4 @@
-//! Where endpoints report their load only when they are asked.
+//! Load probes, where endpoints report their load only in response to probes.
 
 use crate::support::{endpoint_update, probing_settings, Harness, SUCCESS, TTL_MS};
 use crankmux::dispatcher::Dispatcher;
@@ -6,18 +6,18 @@
 use crankmux::types::{ClassId, EndpointId, EndpointState, LoadReport, NewRequest, RequestId};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Requests one after the other, each ended after an interval once its probes are answered. Returns how many
-/// attempts each endpoint got.
+/// Sends requests at an interval, with successful attempts and probes that report the endpoint's requests in flight.
+/// Returns the number of attempts per endpoint.
 fn run(
     harness: &mut Harness,
     keys: &[Option<u64>],
     interval_ms: f64,
-    held: impl Fn(usize) -> f64,
+    in_flight: impl Fn(usize) -> f64,
 ) -> BTreeMap<usize, usize> {
     let from = harness.checker.requests.len();
     for key in keys {
         harness.send_with_key(0, *key);
-        harness.answer_probes(|endpoint| Some(held(endpoint)));
+        harness.answer_probes(|endpoint| Some(in_flight(endpoint)));
         harness.advance(interval_ms);
         harness.end_attempts(|_| SUCCESS);
     }
@@ -25,11 +25,11 @@
 }
 
 #[test]
-fn a_request_asks_two_endpoints_for_their_load_and_goes_where_less_is_held() {
+fn a_request_probes_two_endpoints_and_goes_to_the_less_loaded_one() {
     let mut harness = Harness::with_settings(probing_settings(), 6);
     assert!(
         harness.checker.probes.is_empty(),
-        "a proxy without requests asks nothing"
+        "a proxy without requests sends no probes"
     );
     let request = harness.send(0);
     assert_eq!(
@@ -46,28 +46,28 @@
         probed[1]
     );
     harness.end_attempts(|_| SUCCESS);
-    // One that stays silent holds its request for a moment only, and tells nothing of crowding.
+    // A probe without a response delays its request only briefly and is not taken for overload.
     harness.advance(1000.0);
     let request = harness.send(0);
     harness.advance(41.0);
     assert_eq!(
         harness.checker.requests[request].attempts.len(),
         1,
-        "a tenth of the latency objective"
+        "sent after a tenth of the latency objective"
     );
     harness.answer_probes(|_| None);
     harness.end_attempts(|_| SUCCESS);
-    let held = |endpoint| if endpoint < 3 { 0.0 } else { 4.0 };
-    let counts = run(&mut harness, &[None; 200], 400.0, held);
+    let in_flight = |endpoint| if endpoint < 3 { 0.0 } else { 4.0 };
+    let counts = run(&mut harness, &[None; 200], 400.0, in_flight);
     let idle: usize = (0..3).filter_map(|endpoint| counts.get(&endpoint)).sum();
     assert!(
         idle > 140 && idle < 200,
-        "drawn by the reports, by chance: {counts:?}"
+        "most requests, but not all, go to idle endpoints: {counts:?}"
     );
 }
 
 #[test]
-fn a_report_from_before_a_restart_tells_nothing() {
+fn the_response_to_a_probe_sent_before_a_restart_is_ignored() {
     let mut harness = Harness::with_settings(probing_settings(), 2);
     harness.send(0);
     let started_at_ms = harness.checker.now_ms - 20_000.0;
@@ -81,12 +81,12 @@
     assert_eq!(
         harness.checker.requests[request].attempts.len(),
         1,
-        "not thought full"
+        "the endpoint is not taken for overloaded"
     );
 }
 
-/// Settings of one proxy of two hundred.
-fn settings_of_many() -> Settings {
+/// Settings for one of 200 proxies.
+fn many_proxies_settings() -> Settings {
     Settings {
         proxy_count: 200.0,
         ..probing_settings()
@@ -94,10 +94,10 @@
 }
 
 #[test]
-fn a_quiet_proxy_among_many_rejects_nothing_on_an_idle_fleet() {
-    let mut harness = Harness::with_settings(settings_of_many(), 12);
+fn a_proxy_with_little_traffic_rejects_nothing_while_endpoints_are_idle() {
+    let mut harness = Harness::with_settings(many_proxies_settings(), 12);
     for round in 0..200 {
-        // Now and then three at once, and one in ten is heavy, late on an endpoint that holds little.
+        // Every fifth round sends three requests at once; every tenth is slow although endpoints report little load.
         let count = 1 + 2 * usize::from(round % 5 == 0);
         let requests: Vec<usize> = (0..count).map(|_| harness.send(2)).collect();
         harness.answer_probes(|_| Some(2.0));
@@ -110,8 +110,8 @@
 }
 
 #[test]
-fn a_busy_proxy_among_many_quiet_ones_uses_what_its_traffic_needs() {
-    let mut harness = Harness::with_settings(settings_of_many(), 2);
+fn a_busy_proxy_among_many_exceeds_an_equal_share_of_the_limit() {
+    let mut harness = Harness::with_settings(many_proxies_settings(), 2);
     run(&mut harness, &[None; 600], 20.0, |_| 0.3);
     let requests: Vec<usize> = (0..6).map(|_| harness.send(0)).collect();
     harness.answer_probes(|_| Some(0.0));
@@ -120,56 +120,59 @@
     let sent = requests.iter().filter(was_sent).count();
     assert!(
         sent >= 5,
-        "{sent} of 6, not one an endpoint as a two-hundredth would be"
+        "{sent} of 6 sent; a share of 1/200 would allow one per endpoint"
     );
 }
 
 #[test]
-fn a_crowded_fleet_is_neither_fed_by_all_nor_left_by_all() {
+fn overloaded_endpoints_still_get_some_of_the_requests() {
     let mut harness = Harness::with_settings(probing_settings(), 6);
     run(&mut harness, &[None; 100], 100.0, |_| 1.0);
     let counts = run(&mut harness, &[None; 300], 100.0, |_| 9.0);
     let sent: usize = counts.values().sum();
-    assert!(
-        (10..150).contains(&sent),
-        "chance lets some of 300 in: {sent}"
-    );
+    assert!((10..150).contains(&sent), "{sent} of 300 sent");
 }
 
 #[test]
-fn an_idle_fleet_is_no_reason_to_cross_zones_and_a_crowd_is() {
+fn requests_rarely_leave_their_zone_unless_it_is_loaded() {
     let settings = Settings {
         my_zone: 1,
         cross_zone_price: 0.2,
         ..probing_settings()
     };
     let mut harness = Harness::with_settings(settings, 8);
-    // Endpoints stand in two zones by turns.
-    let crossed = |counts: BTreeMap<usize, usize>| -> usize {
+    // Even endpoints are in the other zone.
+    let cross_zone = |counts: BTreeMap<usize, usize>| -> usize {
         let other_zone = counts.iter().filter(|(endpoint, _)| *endpoint % 2 == 0);
         other_zone.map(|(_, count)| count).sum()
     };
-    let idle = crossed(run(&mut harness, &[None; 200], 100.0, |_| 0.0));
-    assert!(idle < 40, "{idle} of 200 crossed an idle fleet");
-    let held = |endpoint| [0.0, 4.0][endpoint % 2];
-    let crowd = crossed(run(&mut harness, &[None; 200], 100.0, held));
-    assert!(crowd > 80, "{crowd} of 200 left a crowd");
+    let idle = cross_zone(run(&mut harness, &[None; 200], 100.0, |_| 0.0));
+    assert!(
+        idle < 40,
+        "{idle} of 200 sent to the other zone while all endpoints are idle"
+    );
+    let in_flight = |endpoint| [0.0, 4.0][endpoint % 2];
+    let loaded = cross_zone(run(&mut harness, &[None; 200], 100.0, in_flight));
+    assert!(
+        loaded > 80,
+        "{loaded} of 200 sent to the other zone while the own zone is loaded"
+    );
 }
 
 const KEY: Option<u64> = Some(77);
 
-/// How many of sixty requests of one key each endpoint gets from one proxy of fifty.
-fn run_with_key(proxy_number: u64, held: &dyn Fn(usize) -> f64) -> BTreeMap<usize, usize> {
+/// Sends 60 requests with the same key through one of 50 proxies; returns the number of attempts per endpoint.
+fn run_with_key(proxy_number: u64, in_flight: &dyn Fn(usize) -> f64) -> BTreeMap<usize, usize> {
     let settings = Settings {
         proxy_count: 50.0,
         proxy_number: Some(proxy_number as f64),
         ..probing_settings()
     };
     let mut harness = Harness::with_settings(settings, 12);
-    run(&mut harness, &[KEY; 60], 60.0, held)
+    run(&mut harness, &[KEY; 60], 60.0, in_flight)
 }
 
-/// The two endpoints that got most, with their counts.
+/// The two endpoints with the most attempts, and their counts.
 fn busiest_two(counts: BTreeMap<usize, usize>) -> BTreeMap<usize, usize> {
     let mut counts: Vec<_> = counts.into_iter().map(|(id, count)| (count, id)).collect();
     counts.sort_unstable();
@@ -178,12 +181,12 @@
 }
 
 #[test]
-fn requests_of_a_key_meet_at_the_same_endpoints_from_every_proxy_and_leave_a_full_one() {
+fn all_proxies_prefer_the_same_endpoints_for_a_key_and_avoid_an_overloaded_one() {
     let first_two = busiest_two(run_with_key(1, &|_| 2.0));
     assert_eq!(
         first_two.values().sum::<usize>(),
         60,
-        "its first two have all of it: {first_two:?}"
+        "all requests go to two endpoints: {first_two:?}"
     );
     let endpoints =
         |counts: &BTreeMap<usize, usize>| counts.keys().copied().collect::<BTreeSet<_>>();
@@ -196,22 +199,24 @@
         assert_eq!(
             endpoints(&busiest_two(counts)),
             endpoints(&first_two),
-            "alike at all proxies"
+            "the same two endpoints on all proxies"
         );
     }
     let busiest = total.iter().max_by_key(|(_, count)| **count);
-    let (first, count) = busiest.map(|(id, count)| (*id, *count)).expect("served");
-    assert!(count > 660, "{count} of 1200 at its first");
-    let held = |endpoint| if endpoint == first { 30.0 } else { 0.0 };
-    let counts = run_with_key(1, &held);
+    let (first, count) = busiest
+        .map(|(id, count)| (*id, *count))
+        .expect("requests were sent");
+    assert!(count > 660, "{count} of 1200 to the preferred endpoint");
+    let in_flight = |endpoint| if endpoint == first { 30.0 } else { 0.0 };
+    let counts = run_with_key(1, &in_flight);
     assert!(
         counts.get(&first).copied().unwrap_or(0) < 20,
-        "a full one is left: {counts:?}"
+        "an overloaded endpoint is avoided: {counts:?}"
     );
 }
 
 #[test]
-fn the_first_endpoint_of_a_key_is_asked_alone_while_its_load_is_light() {
+fn only_the_preferred_endpoint_of_a_key_is_probed_while_its_load_is_light() {
     let mut harness = Harness::with_settings(probing_settings(), 12);
     run(&mut harness, &[KEY; 3], 400.0, |_| 0.0);
     harness.send_with_key(0, KEY);
@@ -219,7 +224,7 @@
 }
 
 #[test]
-fn an_attempt_has_all_time_of_its_request_where_nothing_is_hedged() {
+fn without_hedging_an_attempt_may_use_all_the_remaining_time() {
     let mut dispatcher = Dispatcher::new(probing_settings(), 7);
     let listed = [endpoint_update(0, EndpointState::Ready, 0.0)];
     dispatcher.update_endpoints(50_000.0, &listed, true, false);
@@ -232,7 +237,7 @@
         key: None,
     };
     let steps = dispatcher.request_arrived(50_000.0, &arrival);
-    assert!(steps.attempts.is_empty(), "it asks first");
+    assert!(steps.attempts.is_empty(), "the endpoint is probed first");
     assert_eq!(dispatcher.take_probes(), [EndpointId::new(0)]);
     let idle = LoadReport {
         in_flight: Some(0.0),
@@ -243,25 +248,25 @@
     assert_eq!(
         next[0].1.attempts[0].timeout_ms,
         TTL_MS - 10.0,
-        "a heavy request is not cancelled to be begun again"
+        "a slow request is not cancelled and retried"
     );
 }
 
 #[test]
-fn a_jammed_endpoint_rests() {
+fn an_endpoint_that_is_slow_despite_low_reported_load_gets_few_requests() {
     let mut harness = Harness::with_settings(probing_settings(), 4);
     run(&mut harness, &[None; 100], 50.0, |_| 1.0);
-    let mut to_jammed = 0;
+    let mut to_slow_endpoint = 0;
     for round in 0..120 {
         let request = harness.send(0);
-        // It has little left, the others are busy; yet its answers take four times as long.
+        // Endpoint 0 reports no load, unlike the others, but takes four times as long to respond.
         harness.answer_probes(|endpoint| Some(if endpoint == 0 { 0.0 } else { 4.2 }));
         let attempt = harness.checker.requests[request].attempts.first();
-        let jammed = attempt.is_some_and(|attempt| attempt.endpoint == 0);
-        to_jammed += usize::from(jammed && round >= 40);
-        harness.advance(if jammed { 200.0 } else { 50.0 });
+        let is_slow = attempt.is_some_and(|attempt| attempt.endpoint == 0);
+        to_slow_endpoint += usize::from(is_slow && round >= 40);
+        harness.advance(if is_slow { 200.0 } else { 50.0 });
         harness.end_attempts(|_| SUCCESS);
         harness.advance(350.0);
     }
-    assert!(to_jammed < 3, "{to_jammed} of 80");
+    assert!(to_slow_endpoint < 3, "{to_slow_endpoint} of 80");
 }
--- a/tests/module/retries.rs
+++ b/tests/module/retries.rs
@@ -1,4 +1,4 @@
-//! Attempts, retries, hedged requests and the final answer.
+//! Attempts, retries, hedged requests and the final response.
 
 use crate::support::{
     default_settings, proxy_settings, Answer, Harness, TrackedRequest, MAX_ATTEMPTS, SUCCESS,
@@ -9,7 +9,7 @@
 use std::collections::BTreeSet;
 
 #[test]
-fn a_request_that_is_not_idempotent_is_retried_only_where_it_never_ran() {
+fn a_non_idempotent_request_is_retried_only_if_it_was_never_executed() {
     let mut harness = Harness::new(3);
     let request = harness.send(2);
     harness.end_attempt(request, 0, AttemptOutcome::Rejected);
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn a_request_with_an_idempotency_key_is_retried_within_its_pod_and_window() {
+fn a_request_with_an_idempotency_key_is_retried_within_its_pod_and_deduplication_window() {
     let mut harness = Harness::new(6);
     let request = harness.send(1);
     harness.end_attempt(request, 0, AttemptOutcome::Failed);
@@ -33,12 +33,12 @@
     assert_eq!(
         harness.checker.requests[request].answers,
         [Answer::Failed],
-        "too near the window's end"
+        "too close to the end of the deduplication window"
     );
 }
 
 #[test]
-fn a_retry_that_is_bound_to_a_full_pod_goes_over_the_limit() {
+fn a_retry_restricted_to_a_pod_may_exceed_the_limit() {
     let mut harness = Harness::new(3);
     let request = harness.send(1);
     for _ in 0..40 {
@@ -55,12 +55,12 @@
     );
     assert!(
         harness.checker.requests[request].answers.is_empty(),
-        "not failed"
+        "the request has not failed"
     );
 }
 
 #[test]
-fn attempts_in_flight_lie_evenly_and_yet_by_chance() {
+fn attempts_in_flight_are_spread_evenly_in_random_order() {
     let order = |number| {
         let mut harness = Harness::with_settings(proxy_settings(number, 1), 4);
         let mut first_endpoint = || {
@@ -72,21 +72,21 @@
             assert_eq!(
                 round.iter().collect::<BTreeSet<_>>().len(),
                 4,
-                "none idle beside a heap: {order:?}"
+                "no endpoint gets a second attempt before all have one: {order:?}"
             );
         }
         order
     };
     let orders: BTreeSet<Vec<usize>> = (0..20).map(order).collect();
-    assert!(orders.len() > 10, "drawn, not dealt: {orders:?}");
+    assert!(orders.len() > 10, "the order is not random: {orders:?}");
 }
 
 #[test]
-fn an_overdue_attempt_is_hedged_and_a_silent_endpoint_is_left() {
+fn an_overdue_attempt_is_hedged_and_an_unresponsive_endpoint_is_avoided() {
     let mut harness = Harness::new(4);
     harness.run(400, 20.0, |_| SUCCESS);
     let from = harness.checker.requests.len();
-    // Endpoint 0 says nothing any more; others answer in their usual time.
+    // Endpoint 0 stops responding.
     for round in 0..60 {
         let request = harness.send(round % 2);
         for _ in 0..40 {
@@ -95,7 +95,7 @@
         }
         let attempts = &harness.checker.requests[request].attempts;
         if attempts.iter().any(|attempt| attempt.in_flight) {
-            // The proxy carries the cancel out.
+            // The balancer has asked for this cancellation.
             harness.end_attempt(request, 0, AttemptOutcome::Cancelled);
         }
     }
@@ -103,36 +103,39 @@
     assert!(
         requests.iter().all(|request| request.has_succeeded()
             || request.idempotency == Idempotency::IdempotentWithKey),
-        "saved by a hedged request"
+        "a hedged request succeeds"
     );
     let first_endpoints = requests[20..]
         .iter()
         .map(|request| request.attempts[0].endpoint);
-    let late = first_endpoints.filter(|endpoint| *endpoint == 0).count();
-    assert!(late < 8, "a silent endpoint is found out: {late} of 40");
-    let once = harness.send(2);
+    let to_unresponsive = first_endpoints.filter(|endpoint| *endpoint == 0).count();
+    assert!(
+        to_unresponsive < 8,
+        "{to_unresponsive} of 40 first attempts to an unresponsive endpoint"
+    );
+    let non_idempotent = harness.send(2);
     harness.advance(900.0);
     assert_eq!(
-        harness.checker.requests[once].attempts.len(),
+        harness.checker.requests[non_idempotent].attempts.len(),
         1,
-        "at most once, whatever time it takes"
+        "a non-idempotent request is not hedged"
     );
 }
 
 #[test]
-fn many_proxies_hedge_nothing() {
+fn a_proxy_among_many_does_not_hedge() {
     let mut many = Harness::with_settings(proxy_settings(0, 12), 4);
     let request = many.send(0);
     many.advance(900.0);
     assert_eq!(
         many.checker.requests[request].attempts.len(),
         1,
-        "hedges of many proxies would take all room"
+        "hedged requests of many proxies would use up all capacity"
     );
 }
 
-/// How many of sixty requests had attempts, where the body of each is on its way or none is.
-fn sent_of_sixty(streaming: bool) -> usize {
+/// The number of attempts started by 60 requests, with the body of each attempt being streamed or not.
+fn attempts_of_sixty_requests(streaming: bool) -> usize {
     let mut harness = Harness::new(2);
     let mut sent = 0;
     for _ in 0..60 {
@@ -147,16 +150,20 @@
 }
 
 #[test]
-fn a_long_body_on_its_way_fills_no_limit() {
+fn an_attempt_that_streams_a_body_does_not_count_towards_the_limit() {
     assert!(
-        sent_of_sixty(false) < 20,
-        "limits hold what endpoints work at"
+        attempts_of_sixty_requests(false) < 20,
+        "the limit applies to requests that endpoints execute"
+    );
+    assert_eq!(
+        attempts_of_sixty_requests(true),
+        60,
+        "streamed bodies do not count"
     );
-    assert_eq!(sent_of_sixty(true), 60, "and nothing else");
 }
 
 #[test]
-fn a_long_body_is_work_again_once_its_endpoint_has_it_and_is_not_retried() {
+fn a_fully_streamed_request_counts_towards_the_limit_again_and_is_not_retried() {
     let mut harness = Harness::new(2);
     let requests: Vec<usize> = (0..30).map(|_| harness.send(0)).collect();
     for request in &requests {
@@ -171,12 +178,12 @@
     assert_eq!(
         harness.checker.requests[requests[0]].attempts.len(),
         1,
-        "bound to the endpoint that it went to"
+        "a streamed request can't be sent to another endpoint"
     );
 }
 
-/// A request whose time is told to be over, where the deadline may be off by a margin.
-fn send_without_time_left(deadline_margin_ms: f64) -> Harness {
+/// Sends a request that has no time left, with settings that allow for an error in its deadline.
+fn send_expired_request(deadline_margin_ms: f64) -> Harness {
     let settings = Settings {
         deadline_margin_ms,
         ..default_settings()
@@ -204,13 +211,13 @@
 }
 
 #[test]
-fn a_request_told_to_be_out_of_time_is_tried_where_clocks_differ() {
-    assert_eq!(send_without_time_left(500.0).in_flight().len(), 1);
-    let harness = send_without_time_left(0.0);
+fn an_expired_request_is_tried_if_its_deadline_may_be_wrong() {
+    assert_eq!(send_expired_request(500.0).in_flight().len(), 1);
+    let harness = send_expired_request(0.0);
     assert_eq!(
         harness.in_flight().len(),
         0,
-        "where they agree it is answered at once"
+        "rejected immediately without a deadline margin"
     );
     assert_eq!(harness.checker.requests[0].answers, [Answer::Rejected]);
 }
--- a/tests/module/settings.rs
+++ b/tests/module/settings.rs
@@ -1,4 +1,4 @@
-//! The operators' settings: what is refused, in which words, and what absent and odd values mean.
+//! Settings in the wire format: errors, defaults and leniently read values.
 
 use crankmux::settings::{validate, NameIndex, Settings, SettingsError};
 use crankmux::types::{ClassId, DeduplicationScope, Idempotency};
@@ -22,7 +22,7 @@
     })
 }
 
-/// The valid settings with one value changed, or removed where it is `null`.
+/// The valid settings with one value replaced, or removed if the new value is `null`.
 fn changed(path: &str, value: &Value) -> Value {
     let mut settings = valid();
     let (parent, key) = path.rsplit_once('/').expect("a path from the root");
@@ -41,8 +41,8 @@
     NameIndex::from_settings(settings).1
 }
 
-/// What is changed, the value that it gets (none where it is `null`), and the fault that is told.
-const FAULTS: &str = r#"
+/// The path of a value, its replacement (`null` removes it), and the expected error message.
+const INVALID_SETTINGS: &str = r#"
 /GroupSize | null | setting balancers is missing (on the wire: GroupSize)
 /GroupSize | "3" | GroupSize is no number from 0 and neither true nor false
 /MyNumber | 4 | MyNumber is not under GroupSize
@@ -82,11 +82,11 @@
 "#;
 
 #[test]
-fn each_fault_is_named_by_its_key() {
-    for row in FAULTS.lines().filter(|row| !row.is_empty()) {
+fn each_error_names_its_key() {
+    for row in INVALID_SETTINGS.lines().filter(|row| !row.is_empty()) {
         let columns: Vec<&str> = row.split(" | ").collect();
         let [path, value, message] = columns[..] else {
-            panic!("{row} has not three columns");
+            panic!("{row} doesn't have three columns");
         };
         let value = serde_json::from_str(value).expect("JSON");
         let error = read(&changed(path, &value)).expect_err(row).to_string();
@@ -94,14 +94,14 @@
     }
 }
 
-/// A deployment whose endpoints report their load to probes alone, with probes limited to `0.0`, started and never
-/// heard of any load: only the integer 0 was taken for a limit that allows none.
+/// Any zero must count as a limit that allows no probes, or a proxy whose endpoints report their load only to probes
+/// would start and never receive a load report.
 #[test]
-fn load_that_is_pulled_needs_probes_and_any_zero_allows_none() {
+fn pulled_load_reports_require_probes_and_any_zero_forbids_them() {
     for probes in [json!(0), json!(0.0), json!(-0.0), json!(false), json!(null)] {
         let mut settings = changed("/Reporting", &json!({"Via": "pull"}));
         settings["Limits"]["Probes"] = probes.clone();
-        let error = read(&settings).expect_err("no probe is allowed");
+        let error = read(&settings).expect_err("no probes are allowed");
         assert_eq!(
             error.to_string(),
             "Reporting.Via is pull, but Limits.Probes allows no probe",
@@ -111,7 +111,7 @@
 }
 
 #[test]
-fn what_is_unknown_or_beside_the_point_is_passed_over() {
+fn unknown_keys_and_irrelevant_values_are_ignored() {
     let expected = read(&valid()).expect("valid");
     for (path, value) in [
         ("/Unknown", json!(3)),
@@ -129,46 +129,47 @@
 }
 
 #[test]
-fn flags_count_as_numbers_and_null_as_absent() {
-    let with = |path: &str, value: Value| read(&changed(path, &value)).expect(path);
-    assert_eq!(with("/GroupSize", json!(true)).proxy_count, 1.0);
-    assert_eq!(with("/GroupSize", json!(0)).proxy_count, 1.0);
+fn booleans_count_as_numbers_and_null_as_absent() {
+    let read_changed = |path: &str, value: Value| read(&changed(path, &value)).expect(path);
+    assert_eq!(read_changed("/GroupSize", json!(true)).proxy_count, 1.0);
+    assert_eq!(read_changed("/GroupSize", json!(0)).proxy_count, 1.0);
     assert_eq!(
-        with("/Limits/RetryAfter", json!(0.5)).max_retry_after_ms,
+        read_changed("/Limits/RetryAfter", json!(0.5)).max_retry_after_ms,
         500.0
     );
     assert_eq!(
-        with("/Limits/RetryAfter", json!(7)).max_retry_after_ms,
+        read_changed("/Limits/RetryAfter", json!(7)).max_retry_after_ms,
         1000.0
     );
     assert_eq!(
-        with("/Limits/RetryAfter", json!(false)).max_retry_after_ms,
+        read_changed("/Limits/RetryAfter", json!(false)).max_retry_after_ms,
         0.0
     );
     assert_eq!(
-        with("/Limits/MaxRetryAfterMs", json!(null)).max_retry_after_ms,
+        read_changed("/Limits/MaxRetryAfterMs", json!(null)).max_retry_after_ms,
         0.0
     );
-    assert!(!with("/Limits/SecondCopies", json!(0)).hedging);
-    assert!(with("/Limits/SecondCopies", json!(2.5)).hedging);
-    assert_eq!(with("/MyNumber", json!(null)).proxy_number, None);
-    assert_eq!(with("/MyZone", json!(5)).my_zone, 0);
-    assert_eq!(with("/MyZone", json!("b")).my_zone, 1);
+    assert!(!read_changed("/Limits/SecondCopies", json!(0)).hedging);
+    assert!(read_changed("/Limits/SecondCopies", json!(2.5)).hedging);
+    assert_eq!(read_changed("/MyNumber", json!(null)).proxy_number, None);
+    assert_eq!(read_changed("/MyZone", json!(5)).my_zone, 0);
+    assert_eq!(read_changed("/MyZone", json!("b")).my_zone, 1);
     assert_eq!(
-        with("/Obligations/AskWithinMs", json!(null)).poll_within_ms,
+        read_changed("/Obligations/AskWithinMs", json!(null)).poll_within_ms,
         8000.0
     );
-    let tenants = with("/Customers/0/QuotaPerS", json!(null)).tenants;
+    let tenants = read_changed("/Customers/0/QuotaPerS", json!(null)).tenants;
     assert_eq!(tenants[0].quota_per_s, f64::MAX);
-    let benefit = with("/Categories/0/Benefit", json!(null)).classes[0].priority_weight;
-    assert_eq!(benefit, 1.0);
+    let priority_weight =
+        read_changed("/Categories/0/Benefit", json!(null)).classes[0].priority_weight;
+    assert_eq!(priority_weight, 1.0);
     let mut pull = changed("/Reporting", &json!({"Via": "pull"}));
     pull["Limits"]["Probes"] = json!(2);
     assert!(read(&pull).expect("probes are allowed").load_by_probes);
 }
 
 #[test]
-fn idempotency_and_scope_have_the_words_of_the_wire() {
+fn idempotency_and_deduplication_scope_are_read_from_the_wire_format() {
     let classes = read(&valid()).expect("valid").classes;
     let idempotency: Vec<_> = classes.iter().map(|class| class.idempotency).collect();
     assert_eq!(
@@ -179,19 +180,19 @@
             Idempotency::NotIdempotent
         ]
     );
-    for (word, scope) in [
+    for (value, scope) in [
         (json!("all"), DeduplicationScope::Global),
         (json!("zone"), DeduplicationScope::Zone),
         (json!("cell"), DeduplicationScope::Pod),
         (json!(null), DeduplicationScope::Pod),
     ] {
-        let settings = read(&changed("/Categories/1/Group", &word)).expect("a known word");
-        assert_eq!(settings.classes[1].deduplication_scope, scope, "{word}");
+        let settings = read(&changed("/Categories/1/Group", &value)).expect("a known value");
+        assert_eq!(settings.classes[1].deduplication_scope, scope, "{value}");
     }
 }
 
 #[test]
-fn a_class_that_is_listed_no_more_keeps_its_index_and_weighs_nothing() {
+fn a_removed_class_keeps_its_index_and_has_zero_weight() {
     let (mut names, _) = NameIndex::from_settings(&valid());
     let fewer = changed(
         "/Categories",
