--- a/tests/module/invariants.rs
+++ b/tests/module/invariants.rs
@@ -23,7 +23,7 @@
     EndpointState::Removed,
 ];
 /// The kind of a generated event is taken modulo this number.
-const KINDS: u8 = 20;
+const EVENT_KINDS: u8 = 20;
 
 /// The kind of an event, and two numbers that serve as its parameters.
 type GeneratedEvent = (u8, u8, u8);
@@ -56,7 +56,7 @@
     let second = usize::from(second);
     let now_ms = harness.checker.now_ms;
     let is_even = first % 2 == 0;
-    match kind % KINDS {
+    match kind % EVENT_KINDS {
         0..=4 => drop(harness.send_with_key(first % 3, Some(second as u64))),
         5..=9 => {
             if let Some((request, attempt)) = some_attempt(harness, first) {
--- a/tests/module/slow_start_budget.rs
+++ b/tests/module/slow_start_budget.rs
@@ -1,5 +1,5 @@
-//! What an endpoint that warms up gets from all proxies together: in any window no more attempts than its budget N,
-//! but for what may be put down to chance, 2 x root of N + 2.
+//! Property test: during slow start, an endpoint gets at most its budget of N attempts per window from all proxies
+//! together, plus 2 * sqrt(N) + 2 for random variation.
 
 use crate::support::{endpoint_update, proxy_settings};
 use crankmux::balancer::Balancer;
@@ -15,17 +15,17 @@
 const SLOW_START_MS: f64 = 10_000.0;
 const INITIAL_SHARE: f64 = 0.2;
 const OVERLOAD_MULTIPLE: f64 = 2.0;
-/// How long each run goes on from the endpoint's start.
+/// The length of each run, from the endpoint's start.
 const RUN_MS: f64 = 4000.0;
 const START_MS: f64 = 50_000.0;
-/// Between the events that befall a proxy.
+/// The interval between the events of a proxy.
 const EVENT_INTERVAL_MS: f64 = 600.0;
-/// A burst is what comes within so long, at its end.
+/// The interval between bursts; each has the requests of the interval before it.
 const BURST_MS: f64 = 700.0;
-/// The latencies of the three classes, of which the mean is an ordinary request's.
+/// The latencies of the three request classes.
 const LATENCIES_MS: [f64; 3] = [30.0, 100.0, 170.0];
 
-/// The request that an attempt was started for.
+/// Receives the balancer's actions, and records only the request of a started attempt.
 #[derive(Default)]
 struct StartedAttempt(Option<RequestId>);
 
@@ -42,37 +42,37 @@
     fn poll_endpoints(&mut self) {}
 }
 
-/// How requests come to a proxy.
+/// The arrival pattern of requests at a proxy.
 #[derive(Clone, Copy, PartialEq)]
 enum Demand {
-    /// At its usual rate.
+    /// The usual rate.
     Usual,
-    /// At three times that.
+    /// Three times the usual rate.
     Triple,
-    /// At three times that, all proxies' in a burst now and then.
+    /// Three times the usual rate, in bursts that coincide on all proxies.
     Bursts,
-    /// Nothing for a while, and then three times the rate.
+    /// A pause, then three times the usual rate.
     TripleAfterPause,
 }
 
-/// What befalls a proxy while the endpoint warms up.
+/// What happens to a proxy repeatedly during slow start.
 #[derive(Clone, Copy, PartialEq)]
 enum Event {
-    Nothing,
-    /// New settings again and again.
-    Reloads,
-    /// A newer process takes over from it, and from that the next.
-    Upgrades,
+    None,
+    /// The settings are reloaded.
+    Reload,
+    /// A new process takes over.
+    Upgrade,
 }
 
-/// What a run has in common for all proxies.
+/// The parameters of a run, the same for all proxies.
 #[derive(Clone, Copy)]
 struct Scenario {
     demand: Demand,
-    /// Whether all requests are of the lightest class.
-    light: bool,
+    /// Whether all requests are of the class with the lowest latency.
+    only_light_requests: bool,
     event: Event,
-    /// How many proxies there are by the settings.
+    /// The number of proxies in the settings, which may differ from the actual number.
     proxy_count: usize,
 }
 
@@ -84,7 +84,7 @@
         }
     }
 
-    /// When requests come to a proxy of such a rate, in requests a millisecond.
+    /// The arrival times of requests at a proxy with this usual rate, in requests per millisecond.
     fn arrivals_ms(&self, rate: f64, rng: &mut Rand64) -> Vec<f64> {
         let (multiple, pause_ms) = match self.demand {
             Demand::Usual => (1.0, 0.0),
@@ -107,7 +107,7 @@
     }
 }
 
-/// One proxy before an endpoint that starts anew.
+/// A proxy with one endpoint, which restarts at `START_MS`.
 struct Proxy {
     scenario: Scenario,
     number: usize,
@@ -117,7 +117,7 @@
 }
 
 impl Proxy {
-    /// A proxy of whose requests the endpoint bears so many a millisecond when it is warm.
+    /// A proxy whose warm endpoint has served `rate` of its requests per millisecond.
     fn new(scenario: Scenario, number: usize, rate: f64, seed: u64) -> Self {
         let mut balancer = Balancer::new(scenario.settings(number), seed);
         let out = &mut StartedAttempt::default();
@@ -150,12 +150,12 @@
         }
     }
 
-    /// When it sends attempts to the endpoint.
+    /// Runs the proxy; returns the times of its attempts.
     fn run(&mut self, rate: f64) -> Vec<f64> {
         let arrivals_ms = self.scenario.arrivals_ms(rate, &mut self.rng);
         let mut attempts_ms = Vec::new();
         for (request, at_ms) in arrivals_ms.into_iter().enumerate() {
-            self.befall(at_ms);
+            self.apply_event(at_ms);
             if self.request_arrives(RequestId::new(request), at_ms) {
                 attempts_ms.push(at_ms);
             }
@@ -163,16 +163,16 @@
         attempts_ms
     }
 
-    fn befall(&mut self, at_ms: f64) {
+    fn apply_event(&mut self, at_ms: f64) {
         if at_ms < self.next_event_ms {
             return;
         }
         self.next_event_ms = at_ms + EVENT_INTERVAL_MS;
         let settings = self.scenario.settings(self.number);
         match self.scenario.event {
-            Event::Nothing => {}
-            Event::Reloads => self.balancer.update_settings(settings),
-            Event::Upgrades => {
+            Event::None => {}
+            Event::Reload => self.balancer.update_settings(settings),
+            Event::Upgrade => {
                 let mut newer = Balancer::new(settings, self.rng.rand_u64());
                 let listed = [endpoint_update(0, EndpointState::Ready, START_MS)];
                 let out = &mut StartedAttempt::default();
@@ -183,10 +183,10 @@
         }
     }
 
-    /// Whether a request that comes in is sent. It is answered in its usual time; in this model nothing is ever in
-    /// flight.
+    /// Sends a request; returns whether an attempt was started. Attempts end immediately with the latency of their
+    /// class as their duration, so none is ever in flight.
     fn request_arrives(&mut self, request: RequestId, at_ms: f64) -> bool {
-        let class = if self.scenario.light {
+        let class = if self.scenario.only_light_requests {
             0
         } else {
             self.rng.rand_range(0..3) as usize
@@ -218,14 +218,14 @@
     }
 }
 
-/// The attempts that an endpoint can take within a window, where it bears such a rate when it is warm.
+/// The number of attempts allowed in the window that starts at `from_ms`, given the endpoint's throughput when warm.
 fn budget_at(from_ms: f64, warm_rate: f64) -> f64 {
-    let warmed_up = (from_ms.max(0.0) / SLOW_START_MS).min(1.0);
-    let able = INITIAL_SHARE + (1.0 - INITIAL_SHARE) * warmed_up;
-    OVERLOAD_MULTIPLE * able * warm_rate * WINDOW_MS
+    let progress = (from_ms.max(0.0) / SLOW_START_MS).min(1.0);
+    let capacity = INITIAL_SHARE + (1.0 - INITIAL_SHARE) * progress;
+    OVERLOAD_MULTIPLE * capacity * warm_rate * WINDOW_MS
 }
 
-/// The most attempts over the budget of a window, in roots of that budget.
+/// The largest number of attempts in a window beyond its budget N plus 2, as a multiple of sqrt(N).
 fn worst_excess(attempts_ms: &[f64], warm_rate: f64) -> f64 {
     let mut first = 0;
     let mut worst = f64::MIN;
@@ -240,10 +240,10 @@
     worst
 }
 
-/// One run: the worst excess (two are allowed), and the share of all budgets that was used.
+/// Executes one run; returns the worst excess, of which 2 is allowed, and the fraction of all budgets used.
 fn run(proxies: usize, seed: u64) -> (f64, f64) {
     let mut rng = Rand64::new(u128::from(seed) * 7919 + proxies as u128);
-    // The budget of the first window is 3 to 300 attempts.
+    // The budget of the first window, from 3 to 300 attempts.
     let budget = 3.0 * 100.0_f64.powf(rng.rand_float());
     let demands = [
         Demand::Usual,
@@ -252,23 +252,18 @@
         Demand::TripleAfterPause,
     ];
     let demand = demands[rng.rand_range(0..4) as usize];
-    let light = rng.rand_float() < 0.3;
-    // Every other run has something befall all proxies, and tells them half or twice their number.
-    let events = [
-        Event::Nothing,
-        Event::Nothing,
-        Event::Reloads,
-        Event::Upgrades,
-    ];
+    let only_light_requests = rng.rand_float() < 0.3;
+    // Half of the runs have an event, and half have a wrong number of proxies in the settings.
+    let events = [Event::None, Event::None, Event::Reload, Event::Upgrade];
     let event = events[rng.rand_range(0..4) as usize];
     let counts = [proxies, proxies, proxies.div_ceil(2), 2 * proxies];
     let scenario = Scenario {
         demand,
-        light,
+        only_light_requests,
         event,
         proxy_count: counts[rng.rand_range(0..4) as usize],
     };
-    // The proxies' traffic is unequal, up to thirty times.
+    // The traffic of proxies differs by up to a factor of 30.
     let weights: Vec<f64> = (0..proxies)
         .map(|_| 30.0_f64.powf(rng.rand_float()))
         .collect();
@@ -286,18 +281,21 @@
     (worst_excess(&attempts_ms, warm_rate), used)
 }
 
-/// Runs so many seeds on all processors: how many went over, the worst excess, and the mean share used.
+/// Runs the seeds in parallel; returns the number of runs over the limit, the worst excess, and the mean fraction of
+/// budgets used.
 fn run_seeds(proxies: usize, seeds: u64) -> (usize, f64, f64) {
-    const LANES: u64 = 8;
-    let run_lane = move |lane| -> Vec<(f64, f64)> {
-        let own = (0..seeds).filter(|seed| seed % LANES == lane);
-        own.map(|seed| run(proxies, seed)).collect()
+    const THREADS: u64 = 8;
+    let run_thread = move |thread| -> Vec<(f64, f64)> {
+        let own_seeds = (0..seeds).filter(|seed| seed % THREADS == thread);
+        own_seeds.map(|seed| run(proxies, seed)).collect()
     };
     let results: Vec<(f64, f64)> = thread::scope(|scope| {
-        let lanes: Vec<_> = (0..LANES)
-            .map(|lane| scope.spawn(move || run_lane(lane)))
+        let threads: Vec<_> = (0..THREADS)
+            .map(|thread| scope.spawn(move || run_thread(thread)))
             .collect();
-        let results = lanes.into_iter().map(|lane| lane.join().expect("it runs"));
+        let results = threads
+            .into_iter()
+            .map(|thread| thread.join().expect("the runs do not panic"));
         results.flatten().collect()
     });
     let over = results.iter().filter(|(worst, _)| *worst > 2.0).count();
@@ -310,28 +308,28 @@
     )
 }
 
-fn assert_no_run_goes_over(seeds: u64) {
+fn assert_no_run_exceeds_the_limit(seeds: u64) {
     let results = [1, 5, 20, 30, 100, 300].map(|proxies| {
         let (over, worst, used) = run_seeds(proxies, seeds);
         println!(
-            "{proxies} proxies, {seeds} seeds: {over} over, worst N + {worst:.2} root N + 2, {used:.2} used"
+            "{proxies} proxies, {seeds} seeds: {over} over, worst N + {worst:.2} sqrt(N) + 2, {used:.2} used"
         );
         (proxies, over, worst)
     });
     assert!(
         results.iter().all(|(_, over, _)| *over == 0),
-        "proxies, runs over, worst: {results:?}"
+        "(proxies, runs over, worst excess): {results:?}"
     );
 }
 
 #[test]
-fn an_endpoint_that_warms_up_bears_the_sum_of_all_proxies() {
-    assert_no_run_goes_over(80);
+fn all_proxies_together_keep_the_slow_start_budget() {
+    assert_no_run_exceeds_the_limit(80);
 }
 
-/// The same in full, some minutes: cargo test --release --test module -- --ignored --nocapture slow_start
+/// Run with `cargo test --release --test module -- --ignored --nocapture slow_start`.
 #[test]
-#[ignore = "ten thousand seeds take minutes; the short form above runs with the others"]
-fn an_endpoint_that_warms_up_bears_the_sum_of_all_proxies_over_ten_thousand_seeds() {
-    assert_no_run_goes_over(10_000);
+#[ignore = "takes minutes; the test with fewer seeds runs by default"]
+fn all_proxies_together_keep_the_slow_start_budget_over_ten_thousand_seeds() {
+    assert_no_run_exceeds_the_limit(10_000);
 }
--- a/tests/module/split.rs
+++ b/tests/module/split.rs
@@ -1,4 +1,4 @@
-//! The split's optimality, on generated inputs and at the edges.
+//! Optimality of the split, on generated inputs and edge cases.
 
 use crate::support::quickcheck_with;
 use crankmux::balancer::{split, QueueModel};
@@ -16,7 +16,7 @@
     }
 }
 
-/// The marginal cost of an endpoint's share: just under it and just over it.
+/// The marginal cost of an endpoint just below and just above a share.
 fn marginal_costs(model: &QueueModel, share: f64, arrival_rate: f64) -> (f64, f64) {
     let flat = model.cost_ms + 1.0 / model.service_rate;
     let backlog = model.queue - model.service_rate * model.horizon_ms;
@@ -37,45 +37,45 @@
     (model.service_rate - model.queue / model.horizon_ms).max(0.0)
 }
 
-/// Whether free capacity alone decides: all arrivals fit into it, and no way is longer than another.
+/// Whether shares depend on free capacity alone: it covers all arrivals, and locality costs are equal.
 fn is_flat(models: &[QueueModel], arrival_rate: f64) -> bool {
     let usable = models.iter().filter(|model| free_rate(model) > 0.0);
     let usable: f64 = usable.map(|model| model.max_share).sum();
     let mut pairs = models.windows(2);
-    let equally_far = pairs.all(|pair| pair[0].locality_cost_ms == pair[1].locality_cost_ms);
+    let equal_locality = pairs.all(|pair| pair[0].locality_cost_ms == pair[1].locality_cost_ms);
     let free: f64 = models.iter().map(free_rate).sum();
-    equally_far && free > arrival_rate && usable > 1.0
+    equal_locality && free > arrival_rate && usable > 1.0
 }
 
-/// Whether shares under their most go by free capacity.
-fn goes_by_free_capacity(models: &[QueueModel], shares: &[f64]) -> bool {
+/// Whether shares below their maximum are proportional to free capacity.
+fn is_proportional_to_free_capacity(models: &[QueueModel], shares: &[f64]) -> bool {
     let pairs = models.iter().zip(shares);
-    let open: Vec<(f64, f64)> = pairs
+    let uncapped: Vec<(f64, f64)> = pairs
         .filter(|(model, share)| **share < model.max_share - 1e-6 && free_rate(model) > 0.0)
         .map(|(model, share)| (free_rate(model), *share))
         .collect();
-    let mut neighbours = open.windows(2);
+    let mut neighbours = uncapped.windows(2);
     neighbours.all(|pair| (pair[0].1 * pair[1].0 - pair[1].1 * pair[0].0).abs() < 1e-6)
 }
 
 /// Whether no shift between two endpoints lowers the cost.
-fn has_level_costs(models: &[QueueModel], shares: &[f64], arrival_rate: f64) -> bool {
-    let mut highest_given = 0.0_f64;
-    let mut lowest_taken = f64::MAX;
+fn has_equal_marginal_costs(models: &[QueueModel], shares: &[f64], arrival_rate: f64) -> bool {
+    let mut highest_below = 0.0_f64;
+    let mut lowest_above = f64::MAX;
     for (model, share) in models.iter().zip(shares) {
-        let (under, over) = marginal_costs(model, *share, arrival_rate);
+        let (below, above) = marginal_costs(model, *share, arrival_rate);
         if *share > 1e-6 {
-            highest_given = highest_given.max(under);
+            highest_below = highest_below.max(below);
         }
         if *share < model.max_share - 1e-6 {
-            lowest_taken = lowest_taken.min(over);
+            lowest_above = lowest_above.min(above);
         }
     }
-    highest_given <= lowest_taken + 1e-3 * highest_given.max(1.0)
+    highest_below <= lowest_above + 1e-3 * highest_below.max(1.0)
 }
 
-/// Shares sum to one, none over its most. Where free capacity does not decide alone, no shift between two
-/// endpoints lowers the cost; where it does, uncapped shares go by free capacity.
+/// Whether the shares sum to 1, none exceeds its maximum, and no shift between two endpoints lowers the cost. If
+/// shares depend on free capacity alone, those below their maximum must be proportional to it instead.
 fn is_optimal(generated: &[GeneratedModel], rate: u8) -> bool {
     let mut models: Vec<QueueModel> = generated.iter().copied().map(queue_model).collect();
     let service_rate: f64 = models.iter().map(|model| model.service_rate).sum();
@@ -89,31 +89,34 @@
     }
     let sum: f64 = shares.iter().sum();
     let mut pairs = shares.iter().zip(&models);
-    let bounded = pairs.all(|(share, model)| (-1e-9..=model.max_share + 1e-9).contains(share));
-    let level = if is_flat(&models, arrival_rate) {
-        goes_by_free_capacity(&models, &shares)
+    let within_bounds =
+        pairs.all(|(share, model)| (-1e-9..=model.max_share + 1e-9).contains(share));
+    let optimal = if is_flat(&models, arrival_rate) {
+        is_proportional_to_free_capacity(&models, &shares)
     } else {
-        has_level_costs(&models, &shares, arrival_rate)
+        has_equal_marginal_costs(&models, &shares, arrival_rate)
     };
-    shares.len() == models.len() && (sum - 1.0).abs() < 1e-6 && bounded && level
+    shares.len() == models.len() && (sum - 1.0).abs() < 1e-6 && within_bounds && optimal
 }
 
-fn is_optimal_near_and_far(generated: Vec<GeneratedModel>, rate: u8) -> bool {
-    let near = generated.iter().copied();
-    let near: Vec<_> = near
+/// Tests the generated models, and the same models without locality costs.
+fn is_optimal_with_and_without_locality_costs(generated: Vec<GeneratedModel>, rate: u8) -> bool {
+    let local = generated.iter().copied();
+    let local: Vec<_> = local
         .map(|(queue, rate, horizon, cost)| (queue, rate, horizon, cost % 128))
         .collect();
-    is_optimal(&generated, rate) && is_optimal(&near, rate)
+    is_optimal(&generated, rate) && is_optimal(&local, rate)
 }
 
 #[test]
 fn the_split_meets_the_optimality_conditions() {
-    quickcheck_with(3000)
-        .quickcheck(is_optimal_near_and_far as fn(Vec<GeneratedModel>, u8) -> bool);
+    quickcheck_with(3000).quickcheck(
+        is_optimal_with_and_without_locality_costs as fn(Vec<GeneratedModel>, u8) -> bool,
+    );
 }
 
 #[test]
-fn the_split_holds_at_the_edges() {
+fn the_split_handles_edge_cases() {
     assert!(split(&[], 1.0).is_empty());
     let one = QueueModel {
         queue: 3.0,
@@ -128,11 +131,11 @@
     let shares = split(&[50.0, 50.0, 5000.0].map(with_queue), 0.02);
     assert!(
         (shares[0] - 0.5).abs() < 1e-6 && shares[2] < 1e-6,
-        "the fullest gets none: {shares:?}"
+        "the endpoint with the longest queue gets no share: {shares:?}"
     );
     let shares = split(&[3.0, 0.0].map(with_queue), 0.0);
     assert!(
         (shares.iter().sum::<f64>() - 1.0).abs() < 1e-6,
-        "zero arrivals: {shares:?}"
+        "no arrivals: {shares:?}"
     );
 }
--- a/tests/module/subset.rs
+++ b/tests/module/subset.rs
@@ -1,10 +1,10 @@
-//! The part of the fleet that each proxy draws from.
+//! The subset of endpoints that each proxy uses.
 
 use crate::support::{proxy_settings, ready_endpoints, Harness, SUCCESS};
 use crankmux::types::{AttemptOutcome, EndpointUpdate};
 use std::collections::BTreeSet;
 
-/// The endpoints that each of many proxies draws from, seen by what it sends.
+/// The endpoints that each proxy uses, observed from its attempts.
 fn subsets(proxies: usize, updates: &[EndpointUpdate]) -> Vec<BTreeSet<usize>> {
     let subset = |number| {
         let mut harness = Harness::with_settings(proxy_settings(number, proxies), 0);
@@ -37,16 +37,16 @@
     let all: usize = before.iter().map(BTreeSet::len).sum();
     assert!(
         kept * 10 >= all * 7,
-        "{kept} of {all} kept when one endpoint goes"
+        "{kept} of {all} endpoints kept after the removal of one"
     );
 }
 
 #[test]
-fn a_failing_subset_widens() {
+fn a_failing_subset_is_extended() {
     let mut harness = Harness::with_settings(proxy_settings(3, 100), 50);
-    let own: BTreeSet<usize> = harness.run(150, 5.0, |_| SUCCESS).into_keys().collect();
+    let initial: BTreeSet<usize> = harness.run(150, 5.0, |_| SUCCESS).into_keys().collect();
     let outcome = |endpoint| {
-        Some(if own.contains(&endpoint) {
+        Some(if initial.contains(&endpoint) {
             AttemptOutcome::Unreachable
         } else {
             AttemptOutcome::Succeeded
@@ -56,10 +56,10 @@
     let counts = harness.run(200, 20.0, outcome);
     let others = counts
         .iter()
-        .filter(|(endpoint, _)| !own.contains(endpoint));
+        .filter(|(endpoint, _)| !initial.contains(endpoint));
     let others: usize = others.map(|(_, count)| count).sum();
     assert!(
         others >= 150,
-        "{others} attempts beyond {own:?}: {counts:?}"
+        "{others} attempts outside the initial subset {initial:?}: {counts:?}"
     );
 }
