--- a/fault-injection/src/harness/admin_calls.rs
+++ b/fault-injection/src/harness/admin_calls.rs
@@ -1,20 +1,19 @@
-//! Calls to the admin API: by operators, who disable and enable endpoints, and by the platform, which asks whether a
-//! process is ready.
+//! Calls to the admin API: operators disable and enable endpoints, and the platform checks readiness.
 
 use super::event_loop::Role;
-use super::{Harness, LOOP_LATENESS_MS};
+use super::{Harness, EVENT_LOOP_SLACK_MS};
 use crankmux_simulator::script::Script;
 use mio::net::TcpStream;
 use slab::Slab;
 use std::fmt;
 
-/// Each answer is due within this, whatever the load.
-const ANSWER_DUE_MS: f64 = 1000.0;
+/// How long a response may take, under any load.
+const RESPONSE_TIMEOUT_MS: f64 = 1000.0;
 
-/// What is called.
+/// A call to the admin API.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum AdminCall {
-    /// Whether the process is ready.
+    /// Checks whether the process is ready.
     Readiness,
     /// Disables an endpoint.
     Disable { endpoint: usize },
@@ -43,25 +42,25 @@
     }
 }
 
-/// What became of an operator's call.
+/// The outcome of a call.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum CallOutcome {
-    /// Answered with this status, in time.
+    /// A response with this status within the timeout.
     Answered(u16),
-    /// Its connection ended before it was answered.
+    /// The connection failed or was closed before a response.
     Closed,
-    /// Not answered in time.
+    /// No response within the timeout.
     Late,
 }
 
-struct OpenCall {
+struct PendingCall {
     proxy: usize,
     call: AdminCall,
-    /// It is closed in the meantime, or was given up.
-    ended: bool,
+    /// The call has an outcome.
+    completed: bool,
 }
 
-/// An operator's call that did not get the answer that it is owed.
+/// An operator's call without a 200 response in time.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct FailedCall {
     pub(crate) at_ms: f64,
@@ -70,10 +69,10 @@
     pub(crate) outcome: CallOutcome,
 }
 
-/// The calls, and what follows from those that were answered.
+/// The state of all calls and their effects.
 pub(super) struct AdminCalls {
-    calls: Slab<OpenCall>,
-    /// Since when each proxy has confirmed that an endpoint is disabled: by proxy, then by endpoint.
+    calls: Slab<PendingCall>,
+    /// When each proxy confirmed that an endpoint is disabled: by proxy, then by endpoint.
     disabled_since_ms: Vec<Vec<Option<f64>>>,
     failed: Vec<FailedCall>,
     confirmed: usize,
@@ -94,63 +93,63 @@
         }
     }
 
-    /// Since when an endpoint is disabled at a proxy, as far as operators were told.
+    /// Returns when a proxy confirmed that an endpoint is disabled, if it still is.
     pub(super) fn disabled_since(&self, proxy: usize, endpoint: usize) -> Option<f64> {
         self.disabled_since_ms[proxy][endpoint]
     }
 }
 
 impl Harness {
-    /// Calls a proxy's admin API. An operator's call is to be answered with 200 in time.
+    /// Calls a proxy's admin API. An operator's call fails unless it gets a 200 response in time.
     pub(crate) fn call_admin(&mut self, proxy: usize, call: AdminCall) {
         let process = &self.proxies[proxy];
         let address = match (call, process.newer_admin) {
             (AdminCall::Readiness, Some(newer)) => newer,
             _ => process.admin,
         };
-        let open = OpenCall {
+        let pending = PendingCall {
             proxy,
             call,
-            ended: false,
+            completed: false,
         };
-        let number = self.admin_calls.calls.insert(open);
+        let call_id = self.admin_calls.calls.insert(pending);
         if let AdminCall::Enable { endpoint } = call {
-            // It may be used from now on, or from when the call is answered.
+            // The proxy may use the endpoint as soon as it reads the call.
             self.admin_calls.disabled_since_ms[proxy][endpoint] = None;
         }
         match TcpStream::connect(address) {
             Ok(stream) => {
-                let role = Role::AdminCall { call: number };
+                let role = Role::AdminCall { call: call_id };
                 let connection = self.event_loop.add_connection(stream, role);
                 self.event_loop.send(connection, &call.request());
             }
-            Err(_) => self.end_call(number, CallOutcome::Closed),
+            Err(_) => self.complete_call(call_id, CallOutcome::Closed),
         }
-        self.schedule(ANSWER_DUE_MS + LOOP_LATENESS_MS, move |harness| {
-            harness.end_call(number, CallOutcome::Late);
-            harness.admin_calls.calls.remove(number);
+        self.schedule(RESPONSE_TIMEOUT_MS + EVENT_LOOP_SLACK_MS, move |harness| {
+            harness.complete_call(call_id, CallOutcome::Late);
+            harness.admin_calls.calls.remove(call_id);
         });
     }
 
-    pub(super) fn on_call_answered(&mut self, number: usize, status: u16) {
-        self.end_call(number, CallOutcome::Answered(status));
+    pub(super) fn on_call_answered(&mut self, call_id: usize, status: u16) {
+        self.complete_call(call_id, CallOutcome::Answered(status));
     }
 
-    pub(super) fn on_call_closed(&mut self, number: usize) {
-        self.end_call(number, CallOutcome::Closed);
+    pub(super) fn on_call_closed(&mut self, call_id: usize) {
+        self.complete_call(call_id, CallOutcome::Closed);
     }
 
-    /// The first thing that becomes of a call counts.
-    fn end_call(&mut self, number: usize, outcome: CallOutcome) {
+    /// Sets the outcome of a call, unless it already has one.
+    fn complete_call(&mut self, call_id: usize, outcome: CallOutcome) {
         let now_ms = self.now();
-        let Some(open) = self.admin_calls.calls.get_mut(number) else {
+        let Some(pending) = self.admin_calls.calls.get_mut(call_id) else {
             return;
         };
-        if std::mem::replace(&mut open.ended, true) {
+        if std::mem::replace(&mut pending.completed, true) {
             return;
         }
-        let proxy = open.proxy;
-        let call = open.call;
+        let proxy = pending.proxy;
+        let call = pending.call;
         let is_confirmed = outcome == CallOutcome::Answered(200);
         match call {
             AdminCall::Readiness if is_confirmed => return self.on_ready(proxy),
@@ -173,12 +172,12 @@
         }
     }
 
-    /// The operators' calls that did not get the answer that they are owed.
+    /// Returns the operators' calls without a 200 response in time.
     pub(crate) fn failed_calls(&self) -> &[FailedCall] {
         &self.admin_calls.failed
     }
 
-    /// How many operators' calls were answered with 200.
+    /// Returns the number of operators' calls with a 200 response.
     pub(crate) fn confirmed_calls(&self) -> usize {
         self.admin_calls.confirmed
     }
--- a/fault-injection/src/harness/discovery.rs
+++ b/fault-injection/src/harness/discovery.rs
@@ -1,4 +1,4 @@
-//! Stand-in discovery: answers each proxy's polls with the endpoint list, or holds them until it changes.
+//! Simulated discovery service: responds to long polls with the endpoint list, or with the changes since a version.
 
 use super::event_loop::Role;
 use super::Harness;
@@ -6,7 +6,7 @@
 use std::net::SocketAddr;
 use std::time::{SystemTime, UNIX_EPOCH};
 
-/// An endpoint's health as discovery lists it.
+/// The health of an endpoint in the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Health {
     Ready,
@@ -22,43 +22,43 @@
     }
 }
 
-/// What discovery lists of an endpoint.
+/// The entry of an endpoint in the endpoint list.
 struct Listing {
     health: Health,
-    /// The version of the list that this came with.
+    /// The list version of the last change.
     version: u64,
 }
 
-/// A proxy's poll that has not been answered yet.
+/// A long poll without a response yet.
 struct HeldPoll {
     connection: usize,
     proxy: usize,
-    /// The version that the proxy has; 0 for none.
+    /// The version that the proxy holds; 0 requests the full list.
     from_version: u64,
     until_ms: f64,
 }
 
-/// The discovery of all proxies.
+/// The discovery service of all proxies.
 pub(super) struct Discovery {
-    /// Where each proxy reaches it.
+    /// Listen addresses, by proxy.
     pub(super) addresses: Vec<SocketAddr>,
     listings: Vec<Listing>,
     version: u64,
     held_polls: Vec<HeldPoll>,
-    /// When each proxy was told that an endpoint drains: by proxy, then by endpoint.
+    /// When each proxy was sent an endpoint's draining state: by proxy, then by endpoint.
     draining_since_ms: Vec<Vec<Option<f64>>>,
-    /// Proxies whose connections to it are closed, and new ones at once.
+    /// For each proxy, whether new connections are closed immediately.
     pub(super) closed: Vec<bool>,
-    /// When each proxy was told which version: by proxy, in the order of time.
-    told_versions: Vec<Vec<(f64, u64)>>,
-    /// When the run began.
-    unix_ms: f64,
+    /// Times and versions of the lists sent to each proxy, in chronological order.
+    sent_versions: Vec<Vec<(f64, u64)>>,
+    /// The start of the run in Unix time.
+    run_start_unix_ms: f64,
 }
 
 impl Discovery {
     pub(super) fn new(proxies: usize) -> Self {
-        // A clock before 1970 counts as 1970.
-        let unix_ms = SystemTime::now()
+        // A clock before the Unix epoch is clamped to it.
+        let run_start_unix_ms = SystemTime::now()
             .duration_since(UNIX_EPOCH)
             .map_or(0.0, |since| since.as_secs_f64() * 1000.0);
         Discovery {
@@ -68,8 +68,8 @@
             held_polls: Vec::new(),
             draining_since_ms: vec![Vec::new(); proxies],
             closed: vec![false; proxies],
-            told_versions: vec![Vec::new(); proxies],
-            unix_ms,
+            sent_versions: vec![Vec::new(); proxies],
+            run_start_unix_ms,
         }
     }
 
@@ -87,18 +87,19 @@
         self.held_polls.retain(|poll| poll.connection != connection);
     }
 
-    /// When a proxy was told that an endpoint drains; `None` if it was not, or if the endpoint is back since.
+    /// Returns when a proxy was sent an endpoint's draining state; `None` if it was sent none, or has
+    /// since been sent the ready state.
     pub(super) fn draining_since(&self, proxy: usize, endpoint: usize) -> Option<f64> {
         self.draining_since_ms[proxy][endpoint]
     }
 
-    /// Takes out the polls that are to be answered now.
+    /// Removes and returns the polls that are due for a response.
     fn take_answerable(&mut self, now_ms: f64, silent: &[bool]) -> Vec<HeldPoll> {
         let version = self.version;
         let answerable = |poll: &HeldPoll| {
-            let whole_list = poll.from_version == 0;
+            let full_list = poll.from_version == 0;
             let changed = poll.from_version < version;
-            !silent[poll.proxy] && (whole_list || changed || now_ms >= poll.until_ms)
+            !silent[poll.proxy] && (full_list || changed || now_ms >= poll.until_ms)
         };
         let polls = std::mem::take(&mut self.held_polls);
         let (answerable, held) = polls.into_iter().partition(answerable);
@@ -106,11 +107,11 @@
         answerable
     }
 
-    /// A proxy is told the health of all endpoints.
-    fn note_told(&mut self, now_ms: f64, proxy: usize) {
-        self.told_versions[proxy].push((now_ms, self.version));
-        let told = &mut self.draining_since_ms[proxy];
-        for (listing, draining_since_ms) in self.listings.iter().zip(told) {
+    /// Records that the current list was sent to a proxy.
+    fn record_sent_list(&mut self, now_ms: f64, proxy: usize) {
+        self.sent_versions[proxy].push((now_ms, self.version));
+        let draining = &mut self.draining_since_ms[proxy];
+        for (listing, draining_since_ms) in self.listings.iter().zip(draining) {
             match listing.health {
                 Health::Ready => *draining_since_ms = None,
                 Health::Draining => {
@@ -121,7 +122,7 @@
     }
 }
 
-/// A number in the query of a request's path.
+/// Returns a numeric parameter from the query of a request path.
 fn query_number(path: &str, name: &str) -> Option<f64> {
     let (_, query) = path.split_once('?')?;
     query
@@ -130,12 +131,12 @@
 }
 
 impl Harness {
-    /// An endpoint drains, and every proxy's discovery that is not silent says so at once.
+    /// Lists an endpoint as draining, and responds to the polls of all proxies whose discovery is not silent.
     pub fn drain(&mut self, endpoint: usize) {
-        self.list(endpoint, Health::Draining);
+        self.set_listed_health(endpoint, Health::Draining);
     }
 
-    /// Closes all connections of a proxy to discovery, and new ones at once.
+    /// Closes a proxy's connections to discovery, and new ones immediately.
     pub(crate) fn close_discovery(&mut self, proxy: usize) {
         self.discovery.closed[proxy] = true;
         let connections: Vec<usize> = self
@@ -150,36 +151,36 @@
         }
     }
 
-    /// Discovery answers all proxies again, whatever kept it from that.
+    /// Restores discovery for all proxies.
     pub(crate) fn recover_discovery(&mut self) {
         self.discovery.closed.fill(false);
         self.discovery_silent.fill(false);
         self.answer_polls();
     }
 
-    /// Discovery moves to another address for a proxy, which its configuration names from now on.
+    /// Moves a proxy's discovery to another address, and rewrites the proxy's configuration.
     pub(crate) fn move_discovery(&mut self, proxy: usize) {
         self.discovery.addresses[proxy] = self.event_loop.listen(Role::Discovery { proxy });
         self.write_files(proxy);
     }
 
-    /// The version of the endpoint list now.
+    /// Returns the current version of the endpoint list.
     pub(crate) fn list_version(&self) -> u64 {
         self.discovery.version
     }
 
-    /// Whether a proxy was told this version of the list, or a later one, by a moment.
-    pub(crate) fn was_told(&self, proxy: usize, version: u64, by_ms: f64) -> bool {
-        self.discovery.told_versions[proxy]
+    /// Returns whether a proxy was sent this version of the list, or a later one, by this time.
+    pub(crate) fn was_sent_version(&self, proxy: usize, version: u64, by_ms: f64) -> bool {
+        self.discovery.sent_versions[proxy]
             .iter()
-            .any(|(at_ms, told)| *told >= version && *at_ms <= by_ms)
+            .any(|(at_ms, sent)| *sent >= version && *at_ms <= by_ms)
     }
 
-    pub(super) fn announce_ready(&mut self, endpoint: usize) {
-        self.list(endpoint, Health::Ready);
+    pub(super) fn list_as_ready(&mut self, endpoint: usize) {
+        self.set_listed_health(endpoint, Health::Ready);
     }
 
-    fn list(&mut self, endpoint: usize, health: Health) {
+    fn set_listed_health(&mut self, endpoint: usize, health: Health) {
         self.discovery.version += 1;
         let version = self.discovery.version;
         self.discovery.listings[endpoint] = Listing { health, version };
@@ -206,14 +207,14 @@
             .take_answerable(now_ms, &self.discovery_silent);
         for poll in answerable {
             let body = self.endpoint_list(&poll).to_string();
-            self.discovery.note_told(now_ms, poll.proxy);
+            self.discovery.record_sent_list(now_ms, poll.proxy);
             let length = body.len();
             let response = format!("HTTP/1.1 200 OK\r\nContent-Length: {length}\r\n\r\n{body}");
             self.event_loop.send(poll.connection, &response);
         }
     }
 
-    /// The endpoint list for a poll: all of it, or what has changed since the proxy's version.
+    /// Returns the full endpoint list, or the changes since the version of a poll.
     fn endpoint_list(&self, poll: &HeldPoll) -> Value {
         let from_version = poll.from_version;
         let hosts: Vec<Value> = (0..self.endpoint_count())
@@ -226,15 +227,15 @@
     }
 
     fn endpoint_entry(&self, proxy: usize, endpoint: usize) -> Value {
-        let server = &self.endpoints.servers[endpoint];
-        // Starts are counted from the start of the run here, and in Unix time on the wire.
-        let born_ms = if server.started_at > 0.0 {
-            self.discovery.unix_ms + server.started_at
+        let instance = &self.endpoints.instances[endpoint];
+        // Converts from time since the start of the run to Unix time; 0 means unknown.
+        let born_ms = if instance.started_at > 0.0 {
+            self.discovery.run_start_unix_ms + instance.started_at
         } else {
             0.0
         };
         json!({"host": format!("s{endpoint}"), "dial": self.endpoints.addresses[endpoint][proxy].to_string(),
-               "site": self.environment.zones[server.zone], "class": server.machine.name, "block": server.pod,
+               "site": self.environment.zones[instance.zone], "class": instance.machine.name, "block": instance.pod,
                "health": self.discovery.listings[endpoint].health.name(), "share": 1.0, "born_ms": born_ms})
     }
 }
--- a/fault-injection/src/harness/endpoints.rs
+++ b/fault-injection/src/harness/endpoints.rs
@@ -1,5 +1,5 @@
-//! Stand-in endpoints: the simulator's model of a server, in real time. Each has a listener for each proxy, so that
-//! every pair can be looked at and cut by itself.
+//! Simulated endpoints: the simulator's endpoint model, run in real time. Each endpoint has one listener per proxy,
+//! which identifies the proxy that sends an attempt.
 
 use super::event_loop::Role;
 use super::Harness;
@@ -11,10 +11,10 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// How long an endpoint that was overloaded while warming up is down.
-const DOWN_AFTER_OVERLOAD_MS: f64 = 3000.0;
+/// How long an endpoint stays down after an overload during warm-up.
+const OVERLOAD_DOWNTIME_MS: f64 = 3000.0;
 
-/// Names an attempt: its request by number and serial, and which of the request's attempts it is.
+/// Identifies an attempt by the key and serial of its request and by its index among the request's attempts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct AttemptId {
     request: usize,
@@ -34,21 +34,21 @@
 
 /// The endpoints of a run.
 pub(super) struct Endpoints {
-    pub(super) servers: Vec<Endpoint>,
-    /// Where each proxy reaches each endpoint: by endpoint, then by proxy.
+    pub(super) instances: Vec<Endpoint>,
+    /// Listen addresses, by endpoint, then by proxy.
     pub(super) addresses: Vec<Vec<SocketAddr>>,
-    /// The connection on which an attempt's response is awaited.
-    awaited: BTreeMap<AttemptId, usize>,
-    /// The mean work of a request over all classes, in milliseconds on a core of speed one.
+    /// The connections of attempts without a response yet.
+    connections_by_attempt: BTreeMap<AttemptId, usize>,
+    /// The mean work of a request over all classes, in milliseconds on a core of speed 1.
     mean_work_ms: f64,
 }
 
 impl Endpoints {
     pub(super) fn new(environment: &Script) -> Self {
         Endpoints {
-            servers: Vec::new(),
+            instances: Vec::new(),
             addresses: Vec::new(),
-            awaited: BTreeMap::new(),
+            connections_by_attempt: BTreeMap::new(),
             mean_work_ms: environment.mean_work_ms(),
         }
     }
@@ -58,12 +58,12 @@
     pub(super) fn add_endpoints(&mut self) {
         for machine in self.environment.machine_types.clone() {
             for _ in 0..machine.count {
-                let endpoint = self.endpoints.servers.len();
+                let endpoint = self.endpoints.instances.len();
                 let zone = endpoint % self.environment.zones.len();
                 let pod = endpoint / machine.pod_size;
-                let obligations = &self.environment.limits;
-                let server = Endpoint::new(&machine, obligations, endpoint as u64, zone, pod, 0.0);
-                self.endpoints.servers.push(server);
+                let limits = &self.environment.limits;
+                let instance = Endpoint::new(&machine, limits, endpoint as u64, zone, pod, 0.0);
+                self.endpoints.instances.push(instance);
                 let addresses = (0..self.environment.proxies)
                     .map(|proxy| self.event_loop.listen(Role::Endpoint { endpoint, proxy }))
                     .collect();
@@ -74,29 +74,31 @@
     }
 
     pub(crate) fn endpoint_count(&self) -> usize {
-        self.endpoints.servers.len()
+        self.endpoints.instances.len()
     }
 
-    /// Whether whoever listens in this role takes connections.
-    pub(super) fn is_up(&self, role: Role) -> bool {
+    /// Returns whether listeners of this role accept connections.
+    pub(super) fn accepts_connections(&self, role: Role) -> bool {
         match role {
-            Role::Endpoint { endpoint, .. } => self.endpoints.servers[endpoint].up,
+            Role::Endpoint { endpoint, .. } => self.endpoints.instances[endpoint].up,
             Role::Discovery { proxy } => !self.discovery.closed[proxy],
             _ => true,
         }
     }
 
-    /// An endpoint's process is replaced by a new one, which has to warm up.
+    /// Replaces an endpoint's process with a new one, which starts cold.
     pub fn restart_endpoint(&mut self, endpoint: usize) {
-        for job in self.endpoints.servers[endpoint].crash() {
-            self.endpoints.awaited.remove(&AttemptId::of(&job));
+        for job in self.endpoints.instances[endpoint].crash() {
+            self.endpoints
+                .connections_by_attempt
+                .remove(&AttemptId::of(&job));
         }
         self.close_connections_to(endpoint);
         let now_ms = self.now();
-        let server = &mut self.endpoints.servers[endpoint];
-        server.up = true;
-        server.started_at = now_ms;
-        self.announce_ready(endpoint);
+        let instance = &mut self.endpoints.instances[endpoint];
+        instance.up = true;
+        instance.started_at = now_ms;
+        self.list_as_ready(endpoint);
     }
 
     fn close_connections_to(&mut self, endpoint: usize) {
@@ -114,22 +116,22 @@
         }
     }
 
-    /// An endpoint that was overloaded while warming up is down for a while.
+    /// Takes an endpoint down after an overload during warm-up, and schedules its restart.
     fn crash(&mut self, endpoint: usize) {
         self.restart_endpoint(endpoint);
-        self.endpoints.servers[endpoint].up = false;
-        self.schedule(DOWN_AFTER_OVERLOAD_MS, move |harness| {
+        self.endpoints.instances[endpoint].up = false;
+        self.schedule(OVERLOAD_DOWNTIME_MS, move |harness| {
             harness.restart_endpoint(endpoint);
         });
     }
 
-    /// Endpoints with the same number remember each other's idempotency keys.
+    /// Returns an endpoint's deduplication group; the endpoints of a group share their idempotency keys.
     fn deduplication_group(&self, endpoint: usize, class: usize) -> u64 {
         let scope = self.environment.request_classes[class].deduplication_scope;
-        self.endpoints.servers[endpoint].deduplication_group(scope)
+        self.endpoints.instances[endpoint].deduplication_group(scope)
     }
 
-    /// An attempt has arrived at an endpoint.
+    /// Handles an attempt that has arrived at an endpoint.
     pub(super) fn on_attempt(
         &mut self,
         connection: usize,
@@ -139,7 +141,6 @@
     ) {
         let now_ms = self.now();
         let Some(request) = self.request_of(headers) else {
-            // Long over, and still attempted.
             self.invariants.attempt_for_forgotten_request();
             return self.close(connection);
         };
@@ -150,16 +151,16 @@
             return self.crash(endpoint);
         }
         self.endpoints
-            .awaited
+            .connections_by_attempt
             .insert(AttemptId::of(&job), connection);
-        if self.endpoints.servers[endpoint].enqueue(now_ms, job) {
+        if self.endpoints.instances[endpoint].enqueue(now_ms, job) {
             self.run_jobs(endpoint);
         } else {
             self.respond(endpoint, job, AttemptOutcome::Rejected);
         }
     }
 
-    /// The request that an attempt's headers name, if it is still known.
+    /// Returns the request that an attempt's headers identify, if it is still kept.
     fn request_of(&mut self, headers: &Headers) -> Option<usize> {
         let (request, serial) = headers.get("x-request-id")?.split_once('-')?;
         let request = request.parse().ok()?;
@@ -168,17 +169,17 @@
         Some(request)
     }
 
-    /// A request's next attempt, as work for an endpoint.
+    /// Creates the job for a request's next attempt.
     fn job(&mut self, now_ms: f64, request: usize) -> Job {
-        let waiting = &self.clients.requests[request];
-        let work_ms = self.environment.request_classes[waiting.class].mean_work_ms;
+        let pending = &self.clients.requests[request];
+        let work_ms = self.environment.request_classes[pending.class].mean_work_ms;
         Job {
             request,
-            serial: waiting.serial,
-            attempt: waiting.attempts,
+            serial: pending.serial,
+            attempt: pending.attempts,
             work_ms: work_ms * (0.5 + self.random.random::<f64>()),
             arrived_at: now_ms,
-            deadline: waiting.deadline_ms,
+            deadline: pending.deadline_ms,
             key: 0,
             key_miss_factor: 1.0,
         }
@@ -187,7 +188,7 @@
     fn check_attempt(&mut self, now_ms: f64, request: usize, endpoint: usize, proxy: usize) {
         let class = self.clients.requests[request].class;
         let group = self.deduplication_group(endpoint, class);
-        // Once an operator was told that it is disabled, an endpoint gets as little as one that drains.
+        // Once its disabling is confirmed to the operator, an endpoint counts as draining.
         let draining_since = [
             self.discovery.draining_since(proxy, endpoint),
             self.admin_calls.disabled_since(proxy, endpoint),
@@ -195,21 +196,22 @@
         .into_iter()
         .flatten()
         .min_by(f64::total_cmp);
-        let waiting = &mut self.clients.requests[request];
-        waiting.attempts += 1;
-        let lifecycle = &mut waiting.lifecycle;
+        let pending = &mut self.clients.requests[request];
+        pending.attempts += 1;
+        let history = &mut pending.history;
         self.invariants
-            .attempt_started(now_ms, lifecycle, endpoint, group, draining_since);
+            .attempt_started(now_ms, history, endpoint, group, draining_since);
     }
 
-    /// Whether this attempt is more than an endpoint that is warming up can bear.
+    /// Returns whether this attempt overloads an endpoint that is warming up.
     fn overloads(&mut self, now_ms: f64, endpoint: usize, request: usize) -> bool {
         let class = self.clients.requests[request].class;
         let mean_work_ms = self.endpoints.mean_work_ms;
         let mean_requests = self.environment.request_classes[class].mean_work_ms / mean_work_ms;
-        let server = &self.endpoints.servers[endpoint];
-        let warmth = server.warmth(now_ms);
-        let capacity = warmth * server.machine.speed * server.machine.cores as f64 / mean_work_ms;
+        let instance = &self.endpoints.instances[endpoint];
+        let warmth = instance.warmth(now_ms);
+        let capacity =
+            warmth * instance.machine.speed * instance.machine.cores as f64 / mean_work_ms;
         let warming_up = warmth < 1.0;
         self.invariants.overloads_cold_endpoint(
             now_ms,
@@ -219,57 +221,61 @@
         )
     }
 
-    /// Starts as many jobs as an endpoint has cores for.
+    /// Starts queued jobs on an endpoint's free cores.
     fn run_jobs(&mut self, endpoint: usize) {
         let now_ms = self.now();
-        while let Some(begun) = self.endpoints.servers[endpoint].start_next(now_ms) {
-            match begun {
-                Dequeued::Started(work) => self.on_job_started(now_ms, endpoint, work),
+        while let Some(dequeued) = self.endpoints.instances[endpoint].start_next(now_ms) {
+            match dequeued {
+                Dequeued::Started(running) => self.on_job_started(now_ms, endpoint, running),
                 Dequeued::Expired(job) => self.respond(endpoint, job, AttemptOutcome::Rejected),
             }
         }
     }
 
-    fn on_job_started(&mut self, now_ms: f64, endpoint: usize, work: RunningJob) {
-        let job = work.job;
+    fn on_job_started(&mut self, now_ms: f64, endpoint: usize, running: RunningJob) {
+        let job = running.job;
         let class = self
             .clients
             .find(job.request, job.serial)
             .map(|request| request.class);
         if let Some(class) = class {
             let group = self.deduplication_group(endpoint, class);
-            let lifecycle = &mut self.clients.requests[job.request].lifecycle;
+            let history = &mut self.clients.requests[job.request].history;
             self.invariants
-                .attempt_executed(now_ms, lifecycle, job.attempt, endpoint, group);
+                .attempt_executed(now_ms, history, job.attempt, endpoint, group);
         }
-        let incarnation = self.endpoints.servers[endpoint].incarnation;
-        self.schedule(work.finishes_at - now_ms, move |harness| {
-            harness.on_job_done(endpoint, incarnation, work.number);
+        let incarnation = self.endpoints.instances[endpoint].incarnation;
+        self.schedule(running.finishes_at - now_ms, move |harness| {
+            harness.on_job_done(endpoint, incarnation, running.number);
         });
     }
 
-    fn on_job_done(&mut self, endpoint: usize, incarnation: u32, work: u64) {
+    fn on_job_done(&mut self, endpoint: usize, incarnation: u32, job_number: u64) {
         let now_ms = self.now();
-        let server = &mut self.endpoints.servers[endpoint];
-        if server.incarnation != incarnation {
+        let instance = &mut self.endpoints.instances[endpoint];
+        if instance.incarnation != incarnation {
             return;
         }
-        // Only faults of the simulator pause an endpoint, so that no job is put off here.
-        if let Completion::Finished(job) = server.complete(now_ms, work) {
+        // Only simulator faults postpone a job, and the harness injects none of them.
+        if let Completion::Finished(job) = instance.complete(now_ms, job_number) {
             self.respond(endpoint, job, AttemptOutcome::Succeeded);
         }
         self.run_jobs(endpoint);
     }
 
-    /// Answers an attempt, with a load report if the environment has them.
+    /// Responds to an attempt, with a load report if the environment enables them.
     fn respond(&mut self, endpoint: usize, job: Job, outcome: AttemptOutcome) {
         let now_ms = self.now();
         if let Some(request) = self.clients.find(job.request, job.serial) {
-            let lifecycle = &mut request.lifecycle;
+            let history = &mut request.history;
             self.invariants
-                .attempt_ended(now_ms, lifecycle, job.attempt, outcome);
+                .attempt_ended(now_ms, history, job.attempt, outcome);
         }
-        let Some(connection) = self.endpoints.awaited.remove(&AttemptId::of(&job)) else {
+        let Some(connection) = self
+            .endpoints
+            .connections_by_attempt
+            .remove(&AttemptId::of(&job))
+        else {
             return;
         };
         let status = if outcome == AttemptOutcome::Succeeded {
@@ -282,14 +288,14 @@
         self.event_loop.send(connection, &response);
     }
 
-    /// The header with an endpoint's load; empty if there is no report.
+    /// Returns the header line with an endpoint's load; empty without a report.
     fn load_report(&mut self, now_ms: f64, endpoint: usize) -> String {
         let reports = &self.environment.load_reports;
         if !reports.enabled {
             return String::new();
         }
-        let server = &mut self.endpoints.servers[endpoint];
-        server
+        let instance = &mut self.endpoints.instances[endpoint];
+        instance
             .report_load(now_ms, reports.interval_ms, reports.delay_ms)
             .map_or_else(String::new, |load| {
                 let in_flight = load.in_flight;
--- a/fault-injection/src/harness/event_loop.rs
+++ b/fault-injection/src/harness/event_loop.rs
@@ -1,4 +1,4 @@
-//! The run loop: waits for sockets and timers, and hands each event to whom it concerns.
+//! The event loop: waits for sockets and timers, and dispatches their events.
 
 use super::Harness;
 use crate::connection::Connection;
@@ -9,40 +9,40 @@
 use std::net::{Ipv4Addr, SocketAddr};
 use std::time::{Duration, Instant};
 
-/// Tokens below are listeners; from here on they are relays, and from the next on connections.
+/// Tokens below `FIRST_RELAY` are listeners, those below `FIRST_CONNECTION` relays, and the rest connections.
 const FIRST_RELAY: usize = 100_000;
 const FIRST_CONNECTION: usize = 1_000_000;
-const EVENTS_AT_ONCE: usize = 1024;
-/// How often a condition that is waited for is looked at, if nothing else happens.
-const CONDITION_INTERVAL_MS: f64 = 20.0;
+const EVENT_CAPACITY: usize = 1024;
+/// How often `until` evaluates its condition while no event occurs.
+const CONDITION_POLL_INTERVAL_MS: f64 = 20.0;
 
-/// Which part of the environment a socket belongs to.
+/// The part of the environment that a socket belongs to.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) enum Role {
-    /// An endpoint, as one proxy reaches it.
+    /// An endpoint's listener for one proxy, or a connection to it.
     Endpoint { endpoint: usize, proxy: usize },
-    /// The discovery of one proxy.
+    /// Discovery for one proxy.
     Discovery { proxy: usize },
-    /// A client of a proxy, with the request that waits for its answer.
+    /// A client of a proxy, with its pending request.
     Client {
         proxy: usize,
         request: Option<usize>,
     },
-    /// An observer of a proxy's admin API.
+    /// A request for a proxy's membership view.
     Observer { proxy: usize },
-    /// An operator's call to a proxy's admin API.
+    /// A call to a proxy's admin API.
     AdminCall { call: usize },
-    /// A client of a proxy that says nothing.
+    /// A client that connects to a proxy and sends nothing.
     IdleClient { proxy: usize },
 }
 
-/// A socket that accepts connections of one role.
+/// A listening socket and the role of the connections that it accepts.
 struct Listener {
     socket: TcpListener,
     role: Role,
 }
 
-/// An open connection with its role.
+/// An open connection and its role.
 pub(super) struct RoleConnection {
     pub(super) connection: Connection,
     pub(super) role: Role,
@@ -50,7 +50,7 @@
 
 type Callback = Box<dyn FnOnce(&mut Harness)>;
 
-/// Sockets and timers.
+/// The poller with its sockets and timers.
 pub(super) struct EventLoop {
     poll: Poll,
     events: Events,
@@ -63,8 +63,8 @@
 impl EventLoop {
     pub(super) fn new() -> Self {
         EventLoop {
-            poll: Poll::new().expect("the system polls"),
-            events: Events::with_capacity(EVENTS_AT_ONCE),
+            poll: Poll::new().expect("creating the poller succeeds"),
+            events: Events::with_capacity(EVENT_CAPACITY),
             started: Instant::now(),
             timers: DueQueue::default(),
             listeners: Vec::new(),
@@ -84,20 +84,20 @@
         Token(FIRST_RELAY + proxy)
     }
 
-    /// Listens at a free port on loopback.
+    /// Listens on a free loopback port.
     pub(super) fn listen(&mut self, role: Role) -> SocketAddr {
         let any_port = SocketAddr::from((Ipv4Addr::LOCALHOST, 0));
-        let mut socket = TcpListener::bind(any_port).expect("a free port on loopback");
-        let address = socket.local_addr().expect("bound");
+        let mut socket = TcpListener::bind(any_port).expect("a loopback port is free");
+        let address = socket.local_addr().expect("the listener is bound");
         let token = Token(self.listeners.len());
         self.registry()
             .register(&mut socket, token, Interest::READABLE)
-            .expect("the system polls");
+            .expect("registering the listener succeeds");
         self.listeners.push(Listener { socket, role });
         address
     }
 
-    /// Takes a connection into the loop. Returns its key.
+    /// Registers a connection and returns its key.
     pub(super) fn add_connection(&mut self, mut stream: TcpStream, role: Role) -> usize {
         let entry = self.connections.vacant_entry();
         let key = entry.key();
@@ -105,7 +105,7 @@
         self.poll
             .registry()
             .register(&mut stream, Token(FIRST_CONNECTION + key), interests)
-            .expect("the system polls");
+            .expect("registering the connection succeeds");
         entry.insert(RoleConnection {
             connection: Connection::new(stream),
             role,
@@ -113,24 +113,24 @@
         key
     }
 
-    /// Takes a connection out of the loop, if it is still there.
+    /// Deregisters and returns a connection, if it is still open.
     fn remove_connection(&mut self, key: usize) -> Option<RoleConnection> {
         let mut removed = self.connections.try_remove(key)?;
-        // It fails only for a socket that is no longer registered, which is what is wanted.
+        // Fails only if the socket is already deregistered.
         let _ = self.registry().deregister(&mut removed.connection.stream);
         Some(removed)
     }
 
-    /// Waits until something is ready, for so long at most. Returns what is.
-    fn ready(&mut self, timeout: Duration) -> Vec<Token> {
-        // An interrupted wait is taken up again in the loop's next turn.
+    /// Waits for ready sockets until the timeout, and returns their tokens.
+    fn poll_ready(&mut self, timeout: Duration) -> Vec<Token> {
+        // After an interrupted wait, the next iteration polls again.
         if self.poll.poll(&mut self.events, Some(timeout)).is_err() {
             return Vec::new();
         }
         self.events.iter().map(|event| event.token()).collect()
     }
 
-    /// Sends a message on a connection, if it is still there.
+    /// Sends a message on a connection, if it is still open.
     pub(super) fn send(&mut self, key: usize, message: &str) {
         if let Some(open) = self.connections.get_mut(key) {
             open.connection.send(message);
@@ -139,7 +139,7 @@
 }
 
 impl Harness {
-    /// Calls back once so many milliseconds have passed.
+    /// Schedules a callback after a delay.
     pub(crate) fn schedule(
         &mut self,
         delay_ms: f64,
@@ -149,15 +149,15 @@
         self.event_loop.timers.insert(due_ms, Box::new(callback));
     }
 
-    /// Lets so many milliseconds pass.
+    /// Processes events for this duration.
     pub fn pass(&mut self, duration_ms: f64) {
         let end_ms = self.now() + duration_ms;
         while self.now() < end_ms {
-            self.turn(end_ms);
+            self.run_once(end_ms);
         }
     }
 
-    /// Lets time pass until a condition holds, so many milliseconds at most. Returns whether it came to hold.
+    /// Processes events until a condition holds or the timeout expires. Returns whether the condition holds.
     pub fn until(
         &mut self,
         timeout_ms: f64,
@@ -168,14 +168,14 @@
             if condition(self) {
                 return true;
             }
-            let next_ms = (self.now() + CONDITION_INTERVAL_MS).min(end_ms);
-            self.turn(next_ms);
+            let next_ms = (self.now() + CONDITION_POLL_INTERVAL_MS).min(end_ms);
+            self.run_once(next_ms);
         }
         condition(self)
     }
 
-    /// One turn of the loop: what is due, and then whatever comes by the next thing that is due.
-    fn turn(&mut self, end_ms: f64) {
+    /// Runs one iteration: first the due callbacks and datagrams, then socket events until the next due time.
+    fn run_once(&mut self, end_ms: f64) {
         self.run_due_callbacks();
         let now_ms = self.now();
         self.relays.forward_due(now_ms);
@@ -185,7 +185,7 @@
             .flatten()
             .fold(end_ms, f64::min);
         let wait = Duration::from_secs_f64((next_ms - now_ms).max(0.0) / 1000.0);
-        for token in self.event_loop.ready(wait) {
+        for token in self.event_loop.poll_ready(wait) {
             self.dispatch(token);
         }
     }
@@ -213,19 +213,19 @@
     }
 
     fn accept(&mut self, listener: usize) {
-        // Any error ends the turn: mostly that nobody waits; a machine out of sockets leaves the rest waiting.
+        // The error is usually `WouldBlock`; without free descriptors, pending connections stay in the backlog.
         while let Ok((stream, _)) = self.event_loop.listeners[listener].socket.accept() {
             let role = self.event_loop.listeners[listener].role;
-            if self.is_up(role) {
+            if self.accepts_connections(role) {
                 let connection = self.event_loop.add_connection(stream, role);
-                // What it has brought already came before whatever lies ready on others: a hedged request would be
-                // judged after the answer to its request.
+                // Data that is already readable precedes the other pending events. If it were read later, a hedged
+                // attempt could be checked after the response to its request.
                 self.serve_connection(connection);
             }
         }
     }
 
-    /// Reads what a connection has, and handles each message that is complete.
+    /// Reads the available input of a connection and handles each complete message.
     fn serve_connection(&mut self, key: usize) {
         loop {
             let Some(open) = self.event_loop.connections.get_mut(key) else {
@@ -276,7 +276,7 @@
         }
     }
 
-    /// How many connections a proxy has to endpoints.
+    /// Returns the number of connections from a proxy to endpoints.
     pub(crate) fn endpoint_connections(&self, proxy: usize) -> usize {
         let of_proxy =
             |role: Role| matches!(role, Role::Endpoint { proxy: from, .. } if from == proxy);
@@ -284,8 +284,8 @@
         connections.filter(|(_, open)| of_proxy(open.role)).count()
     }
 
-    /// Closes the connections of all clients that wait for nothing.
-    pub(crate) fn close_unused_connections(&mut self) {
+    /// Closes all client connections without a pending request.
+    pub(crate) fn close_idle_connections(&mut self) {
         let idle: Vec<usize> = self
             .event_loop
             .connections
@@ -298,7 +298,7 @@
         }
     }
 
-    /// Closes a connection, and sees to whoever waited on it.
+    /// Closes a connection and updates the state that depends on it.
     pub(super) fn close(&mut self, key: usize) {
         let Some(RoleConnection { connection, role }) = self.event_loop.remove_connection(key)
         else {
--- a/fault-injection/src/harness/idle_clients.rs
+++ b/fault-injection/src/harness/idle_clients.rs
@@ -1,25 +1,26 @@
-//! Idle clients: they hold connections to proxies, say nothing, and go on coming.
+//! Idle clients: they hold connections to proxies without sending requests, and are replaced continuously.
 
 use super::event_loop::Role;
 use super::Harness;
 use mio::net::TcpStream;
 use std::collections::VecDeque;
 
-/// How often a new idle client comes to each proxy.
-const INTERVAL_MS: f64 = 4.0;
+/// How often a new idle client connects to each proxy.
+const ARRIVAL_INTERVAL_MS: f64 = 4.0;
 
-/// The connections of the idle clients, oldest first, by proxy.
+/// The connections of the idle clients.
 pub(super) struct IdleClients {
+    /// By proxy, oldest first.
     connections: Vec<VecDeque<usize>>,
-    /// How many stay at each proxy.
-    size: usize,
+    /// The number of connections that each proxy keeps.
+    per_proxy: usize,
 }
 
 impl IdleClients {
     pub(super) fn new(proxies: usize) -> Self {
         IdleClients {
             connections: vec![VecDeque::new(); proxies],
-            size: 0,
+            per_proxy: 0,
         }
     }
 
@@ -29,17 +30,17 @@
 }
 
 impl Harness {
-    /// Has idle clients come to each proxy from now on, so many of which stay at each.
-    pub(crate) fn begin_idle_clients(&mut self, size: usize) {
-        self.idle_clients.size = size;
+    /// Starts connecting idle clients, and keeps this many connections at each proxy.
+    pub(crate) fn start_idle_clients(&mut self, per_proxy: usize) {
+        self.idle_clients.per_proxy = per_proxy;
         for proxy in 0..self.proxies.len() {
             self.add_idle_client(proxy);
         }
     }
 
-    /// All idle clients leave, and no more come.
-    pub(crate) fn end_idle_clients(&mut self) {
-        self.idle_clients.size = 0;
+    /// Closes the connections of all idle clients and stops new ones.
+    pub(crate) fn stop_idle_clients(&mut self) {
+        self.idle_clients.per_proxy = 0;
         for proxy in 0..self.proxies.len() {
             while let Some(oldest) = self.idle_clients.connections[proxy].pop_front() {
                 self.close(oldest);
@@ -48,20 +49,22 @@
     }
 
     fn add_idle_client(&mut self, proxy: usize) {
-        if self.idle_clients.size == 0 {
+        if self.idle_clients.per_proxy == 0 {
             return;
         }
-        // Where no proxy listens, the next one tries again.
+        // On failure, the next interval tries again.
         if let Ok(stream) = TcpStream::connect(self.proxies[proxy].listen) {
             let role = Role::IdleClient { proxy };
             let connection = self.event_loop.add_connection(stream, role);
             self.idle_clients.connections[proxy].push_back(connection);
         }
-        if self.idle_clients.connections[proxy].len() > self.idle_clients.size {
+        if self.idle_clients.connections[proxy].len() > self.idle_clients.per_proxy {
             if let Some(oldest) = self.idle_clients.connections[proxy].pop_front() {
                 self.close(oldest);
             }
         }
-        self.schedule(INTERVAL_MS, move |harness| harness.add_idle_client(proxy));
+        self.schedule(ARRIVAL_INTERVAL_MS, move |harness| {
+            harness.add_idle_client(proxy)
+        });
     }
 }
--- a/fault-injection/src/harness/invariants.rs
+++ b/fault-injection/src/harness/invariants.rs
@@ -1,33 +1,33 @@
-//! The rules that are checked over all proxies together, by the simulator's invariant checker.
+//! Checks invariants across all proxies with the simulator's invariant checker.
 
-use super::{Harness, LOOP_LATENESS_MS};
+use super::{Harness, EVENT_LOOP_SLACK_MS};
 use crankmux_simulator::invariants::{InvariantChecker, Rule, Tolerances};
 use crankmux_simulator::script::Script;
 
-/// A checker with an environment's bounds, widened by what this loop may be late.
+/// Creates a checker with an environment's tolerances, widened by the event loop's scheduling slack.
 pub(super) fn checker(environment: &Script) -> InvariantChecker {
     let limits = &environment.limits;
     InvariantChecker::new(Tolerances {
-        answer_slack_ms: limits.answer_slack_ms + LOOP_LATENESS_MS,
-        drain_grace_ms: limits.drain_grace_ms + LOOP_LATENESS_MS,
+        answer_slack_ms: limits.answer_slack_ms + EVENT_LOOP_SLACK_MS,
+        drain_grace_ms: limits.drain_grace_ms + EVENT_LOOP_SLACK_MS,
         overload_multiple: limits.overload_multiple,
         overload_window_ms: limits.overload_window_ms,
     })
 }
 
 impl Harness {
-    /// The broken rules, in words; empty if all were kept.
+    /// Returns descriptions of the violated invariants; empty if there are none.
     pub fn broken(&self) -> Vec<String> {
         let mut broken: Vec<String> = self
             .invariants
             .violations
             .iter()
-            .map(|case| {
+            .map(|violation| {
                 format!(
                     "{}: {}: {:?}",
-                    case.rule.name(),
-                    case.description,
-                    case.history
+                    violation.rule.name(),
+                    violation.description,
+                    violation.history
                 )
             })
             .collect();
--- a/fault-injection/src/harness/measurements.rs
+++ b/fault-injection/src/harness/measurements.rs
@@ -1,27 +1,27 @@
-//! What is measured: the service that clients got, the attempts that endpoints saw, and processor time.
+//! Measurements: request outcomes and latencies, attempts at endpoints, and CPU time.
 
 use super::Harness;
 use crate::proxy_process::ProxyProcess;
 use serde::Serialize;
 
-/// What clients got. In JSON the fields have the names of the reports' pages.
+/// Request counts by outcome, serialized with the field names of the report format.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub struct Service {
-    /// Requests that clients sent.
+    /// Requests sent by clients.
     #[serde(rename = "taken")]
     pub requests: u64,
-    /// Those answered with success.
+    /// Requests with a successful response.
     #[serde(rename = "acked")]
     pub succeeded: u64,
-    /// Those answered with success within the latency objective.
+    /// Requests with a successful response within the latency objective.
     pub in_time: u64,
-    /// Those rejected.
+    /// Rejected requests.
     #[serde(rename = "nacked")]
     pub rejected: u64,
-    /// Those that failed.
+    /// Failed requests.
     #[serde(rename = "dead_lettered")]
     pub failed: u64,
-    /// Those without an answer because their proxy died or was stopped, or their client left.
+    /// Requests without a response because the proxy died or was stopped, or the client disconnected.
     #[serde(rename = "gone")]
     pub unanswered: u64,
 }
@@ -34,9 +34,9 @@
     endpoint: usize,
 }
 
-/// The requests that were sent in one second.
+/// Counts of the requests sent in one second.
 #[derive(Clone, Copy, Debug, Default)]
-struct Second {
+struct SecondCounts {
     requests: u64,
     in_time: u64,
 }
@@ -45,9 +45,9 @@
 pub(super) struct Measurements {
     attempts: Vec<Attempt>,
     latencies_ms: Vec<f64>,
-    seconds: Vec<Second>,
-    /// Processor time of processes that have ended.
-    pub(super) cpu_of_ended_ms: f64,
+    seconds: Vec<SecondCounts>,
+    /// CPU time of the processes that were killed.
+    pub(super) exited_cpu_ms: f64,
 }
 
 fn second_of(time_ms: f64) -> usize {
@@ -58,7 +58,7 @@
     pub(super) fn count_request(&mut self, sent_ms: f64) {
         let second = second_of(sent_ms);
         if self.seconds.len() <= second {
-            self.seconds.resize(second + 1, Second::default());
+            self.seconds.resize(second + 1, SecondCounts::default());
         }
         self.seconds[second].requests += 1;
     }
@@ -78,13 +78,13 @@
 }
 
 impl Harness {
-    /// The latency of each request that succeeded, in milliseconds.
-    pub fn latencies(&self) -> &[f64] {
+    /// Returns the latency of each successful request.
+    pub fn latencies_ms(&self) -> &[f64] {
         &self.measurements.latencies_ms
     }
 
-    /// For each second, the fraction of its requests that succeeded within the latency objective.
-    pub fn by_second(&self) -> Vec<f64> {
+    /// Returns, for each second, the fraction of its requests that succeeded within the latency objective.
+    pub fn in_time_fraction_by_second(&self) -> Vec<f64> {
         self.measurements
             .seconds
             .iter()
@@ -92,24 +92,25 @@
             .collect()
     }
 
-    /// The number of attempts that reached endpoints at all.
+    /// Returns the number of attempts that reached any endpoint.
     pub fn reached(&self) -> usize {
         self.measurements.attempts.len()
     }
 
-    /// The number of attempts that reached an endpoint from a proxy since a moment.
+    /// Returns the number of attempts from a proxy that reached an endpoint at or after `since_ms`.
     pub fn attempts(&self, proxy: usize, endpoint: usize, since_ms: f64) -> usize {
         self.attempts_at(endpoint, since_ms)
             .filter(|attempt| attempt.proxy == proxy)
             .count()
     }
 
-    /// The number of attempts that reached an endpoint from all proxies since a moment.
+    /// Returns the number of attempts from all proxies that reached an endpoint at or after `since_ms`.
     pub fn attempts_from_all(&self, endpoint: usize, since_ms: f64) -> usize {
         self.attempts_at(endpoint, since_ms).count()
     }
 
-    /// The most attempts that reached an endpoint from all proxies in any window of this length since a moment.
+    /// Returns the maximum number of attempts from all proxies that reached an endpoint within any window of
+    /// `window_ms`, at or after `since_ms`.
     pub fn most_attempts_from_all(&self, endpoint: usize, since_ms: f64, window_ms: f64) -> usize {
         let mut times_ms: Vec<f64> = self
             .attempts_at(endpoint, since_ms)
@@ -130,9 +131,9 @@
             .filter(move |attempt| attempt.endpoint == endpoint && attempt.at_ms >= since_ms)
     }
 
-    /// Processor time that all proxies have used, in milliseconds.
+    /// Returns the total CPU time of all proxies in milliseconds.
     pub(crate) fn cpu_ms(&self) -> f64 {
         let running_ms: f64 = self.proxies.iter().map(ProxyProcess::cpu_ms).sum();
-        self.measurements.cpu_of_ended_ms + running_ms
+        self.measurements.exited_cpu_ms + running_ms
     }
 }
--- a/fault-injection/src/harness/mod.rs
+++ b/fault-injection/src/harness/mod.rs
@@ -1,5 +1,5 @@
-//! The environment around the proxies of a run, all in one event loop: stand-in endpoints, discovery, clients and
-//! relays, and the record of what they saw.
+//! Test environment for a cluster of proxy processes, driven by a single-threaded event loop: simulated endpoints,
+//! discovery, clients and datagram relays, and the measurements that they collect.
 
 mod admin_calls;
 mod clients;
@@ -34,30 +34,30 @@
 use rand_chacha::ChaCha8Rng;
 use shutdowns::Shutdowns;
 
-/// How late this loop, on a machine that is busy with other tests, may be before an answer counts as late.
-const LOOP_LATENESS_MS: f64 = 700.0;
+/// Tolerance for scheduling delays of the event loop on a busy machine.
+const EVENT_LOOP_SLACK_MS: f64 = 700.0;
 
-/// The key that the proxies of a run share until they are given another.
+/// The initial key for authentication between the proxies of a run.
 const CLUSTER_KEY: &str = "the key of this rig's own fleet";
 
-/// Several proxy processes and all that they need, on loopback and in one thread of the caller's.
+/// Runs several proxy processes and their environment on loopback, in the caller's thread.
 ///
-/// Time passes only in [`pass`](Harness::pass) and [`until`](Harness::until). Proxies and endpoints are named by
-/// their numbers, from 0; times are in milliseconds since the harness was made.
+/// Events are processed only in [`pass`](Harness::pass) and [`until`](Harness::until). Proxies and endpoints are
+/// identified by zero-based indexes; times are in milliseconds since the harness was created.
 pub struct Harness {
-    /// The proxies, by number.
+    /// The proxies, by index.
     pub proxies: Vec<ProxyProcess>,
-    /// The relays of datagrams between proxies.
+    /// Relays for the datagrams between proxies.
     pub relays: PathRelays,
-    /// Checks the rules over all proxies together, by what endpoints and clients saw.
+    /// Checks the invariants across all proxies, from the events at endpoints and clients.
     pub invariants: InvariantChecker,
-    /// All views that were taken, in the order of time.
+    /// All recorded membership views, in chronological order.
     pub views: Vec<View>,
-    /// What clients got.
+    /// Request counts by outcome.
     pub service: Service,
-    /// Requests a second to each proxy.
+    /// Requests per second to each proxy.
     pub rate: f64,
-    /// Proxies whose discovery does not answer.
+    /// For each proxy, whether discovery leaves its polls unanswered.
     pub discovery_silent: Vec<bool>,
     environment: Script,
     start: Start,
@@ -74,10 +74,10 @@
 }
 
 impl Harness {
-    /// Sets up an environment as a script of the simulator describes it. No proxy is started yet.
+    /// Sets up the environment that a simulator script describes, without starting any proxy.
     ///
     /// # Panics
-    /// If the system has no free ports, or the run's folder cannot be written to.
+    /// If no port is free, or the run's directory is not writable.
     pub fn new(environment: Script, start: Start) -> Self {
         let proxies = environment.proxies;
         let mut harness = Harness {
@@ -106,17 +106,17 @@
         harness
     }
 
-    /// Milliseconds since the start of the run.
+    /// Milliseconds since the harness was created.
     pub fn now(&self) -> f64 {
         self.event_loop.now_ms()
     }
 }
 
-/// Ends all processes and removes the run's folder.
+/// Kills all proxy processes and removes the run's directory.
 impl Drop for Harness {
     fn drop(&mut self) {
         self.proxies.iter_mut().for_each(ProxyProcess::kill);
-        // What cannot be removed is left for whoever looks after temporary files.
+        // Removal is best effort: the directory is temporary.
         let _ = std::fs::remove_dir_all(&self.start.folder);
     }
 }
--- a/fault-injection/src/harness/observations.rs
+++ b/fault-injection/src/harness/observations.rs
@@ -1,4 +1,4 @@
-//! Observations: what each proxy says of the other members of its cluster, taken down at short intervals.
+//! Periodic recording of each proxy's view of the cluster membership.
 
 use super::event_loop::Role;
 use super::Harness;
@@ -7,40 +7,40 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// How often each proxy's view is taken down.
-const INTERVAL_MS: f64 = 100.0;
+/// How often each proxy's view is requested.
+const OBSERVATION_INTERVAL_MS: f64 = 100.0;
 const ALIVE: &str = "alive";
 
-/// What a proxy said of the other members at a moment.
+/// A proxy's view of the cluster membership at one time.
 #[derive(Clone, Debug, PartialEq)]
 pub struct View {
-    /// Milliseconds since the start of the run.
+    /// Milliseconds since the harness was created.
     pub at_ms: f64,
-    /// Whose view it is.
+    /// The proxy that reported the view.
     pub proxy: usize,
-    /// The states of the other members, by number.
+    /// The states of the other members, by proxy index.
     pub states: BTreeMap<usize, String>,
-    /// How much of the cluster it reaches, in the words of the `/fleet` page.
+    /// Which part of the cluster it reaches: `reach.state` of the `/fleet` page.
     pub reach: String,
-    /// How many proxies it assumes to share the endpoints.
+    /// The number of proxies that it assumes to share the endpoints.
     pub assumed_proxies: f64,
-    /// Its share of the slow-start budget, in shares of a configured proxy.
+    /// Its part of the slow-start budget, as a multiple of a configured proxy's share.
     pub slow_start_share: f64,
 }
 
 impl View {
-    /// The other members that it holds for alive, in the order of their numbers.
+    /// Returns the other members in the alive state, in index order.
     fn alive(&self) -> impl Iterator<Item = usize> + '_ {
         self.states
             .iter()
             .filter(|(_, state)| *state == ALIVE)
-            .map(|(number, _)| *number)
+            .map(|(index, _)| *index)
     }
 }
 
-/// What is known of the processes that are observed.
+/// The state of the observation of each proxy.
 pub(super) struct Observations {
-    /// From when on a proxy's views are of its current process; infinite while that is shutting down.
+    /// From when a proxy's views belong to its current process; infinite while that is shutting down.
     pub(super) started_ms: Vec<f64>,
 }
 
@@ -53,9 +53,9 @@
 }
 
 impl Harness {
-    /// Takes down a proxy's view again and again, while it runs.
+    /// Requests a proxy's view periodically while its process runs.
     pub(super) fn observe(&mut self, proxy: usize) {
-        self.schedule(INTERVAL_MS, move |harness| {
+        self.schedule(OBSERVATION_INTERVAL_MS, move |harness| {
             if !harness.proxies[proxy].runs() {
                 return;
             }
@@ -67,7 +67,7 @@
     }
 
     fn request_view(&mut self, proxy: usize) {
-        // A proxy that cannot be reached now is asked again after the interval.
+        // On failure, the next interval tries again.
         if let Ok(stream) = TcpStream::connect(self.proxies[proxy].admin) {
             let connection = self
                 .event_loop
@@ -77,16 +77,16 @@
         }
     }
 
-    /// A proxy's `/fleet` page has arrived.
+    /// Records the view from a proxy's `/fleet` page.
     pub(super) fn on_view(&mut self, proxy: usize, body: &[u8]) {
         let now_ms = self.now();
-        if self.clients.opened
+        if self.clients.load_started
             && now_ms >= self.observations.started_ms[proxy]
             && !self.proxies[proxy].stopped
         {
             self.clients.in_rotation[proxy] = true;
         }
-        // An error page is no view.
+        // An error response has no JSON body.
         let Ok(page) = serde_json::from_slice::<Value>(body) else {
             return;
         };
@@ -109,17 +109,17 @@
         });
     }
 
-    /// The number and the state of a member on the page; `None` if it is none of the run's proxies.
+    /// Returns a member's proxy index and state; `None` if no proxy of the run has its address.
     fn member_state(&self, member: &Value) -> Option<(usize, String)> {
         let address: SocketAddr = member["address"].as_str()?.parse().ok()?;
-        let number = self
+        let index = self
             .proxies
             .iter()
             .position(|proxy| proxy.advertised == address)?;
-        Some((number, member["state"].as_str()?.to_string()))
+        Some((index, member["state"].as_str()?.to_string()))
     }
 
-    /// The last view of a proxy's current process, if there is one.
+    /// Returns the last view that a proxy's current process reported.
     pub fn view(&self, proxy: usize) -> Option<&View> {
         let started_ms = self.observations.started_ms[proxy];
         self.views
@@ -128,7 +128,7 @@
             .find(|view| view.proxy == proxy && view.at_ms >= started_ms)
     }
 
-    /// Whether each of these proxies, by its last view, holds exactly the others of them for alive.
+    /// Returns whether the last view of each of these proxies has exactly the others of them alive.
     pub fn agree(&self, proxies: &[usize]) -> bool {
         proxies.iter().all(|proxy| {
             let others = proxies.iter().copied().filter(|other| other != proxy);
@@ -137,7 +137,8 @@
         })
     }
 
-    /// When each of these proxies first saw another in a state, since a moment; `None` for one that did not.
+    /// Returns when each of these proxies first reported another one in a state, at or after `since_ms`; `None` if it
+    /// did not.
     pub fn saw(
         &self,
         proxies: &[usize],
@@ -156,29 +157,29 @@
         proxies.iter().map(first).collect()
     }
 
-    /// When the views of all proxies that are observed were first equal, within a span of time.
-    pub(crate) fn converged(&self, from_ms: f64, until_ms: f64) -> Option<f64> {
+    /// Returns when the views of all observed proxies first matched within a period.
+    pub(crate) fn converged_at_ms(&self, from_ms: f64, until_ms: f64) -> Option<f64> {
         let mut members_by_observer: BTreeMap<usize, Vec<usize>> = BTreeMap::new();
         let in_span = |view: &&View| view.at_ms >= from_ms && view.at_ms <= until_ms;
         for view in self.views.iter().filter(in_span) {
             let mut members: Vec<usize> = view.alive().chain([view.proxy]).collect();
             members.sort_unstable();
             members_by_observer.insert(view.proxy, members);
-            if all_equal(&members_by_observer) {
+            if all_views_match(&members_by_observer) {
                 return Some(view.at_ms);
             }
         }
         None
     }
 
-    /// When a proxy's process was started last.
+    /// Returns when a proxy's current process was started; infinite while it is shutting down.
     pub(crate) fn started_ms(&self, proxy: usize) -> f64 {
         self.observations.started_ms[proxy]
     }
 }
 
-/// Whether all observers see the same members, and are those members.
-fn all_equal(members_by_observer: &BTreeMap<usize, Vec<usize>>) -> bool {
+/// Returns whether all observers report the same members, and are exactly those members.
+fn all_views_match(members_by_observer: &BTreeMap<usize, Vec<usize>>) -> bool {
     let Some(members) = members_by_observer.values().next() else {
         return false;
     };
--- a/fault-injection/src/harness/paths.rs
+++ b/fault-injection/src/harness/paths.rs
@@ -1,4 +1,4 @@
-//! Faults on the paths of datagrams between proxies.
+//! Faults on the datagram paths between proxies.
 
 use super::Harness;
 use crate::relays::PathFaults;
@@ -7,10 +7,10 @@
 
 /// How often a flood sends a batch.
 const FLOOD_INTERVAL_MS: f64 = 5.0;
-const LONGEST_GARBAGE: usize = 1300;
+const MAX_GARBAGE_BYTES: usize = 1300;
 
 impl Harness {
-    /// Sets the faults on the paths from each of some proxies to each of others.
+    /// Sets the faults on the path from each proxy in `from` to each proxy in `to`.
     pub fn ways(&mut self, from: &[usize], to: &[usize], faults: PathFaults) {
         for sender in from {
             for receiver in to {
@@ -19,7 +19,7 @@
         }
     }
 
-    /// Cuts the proxies into these groups; with a single group, sets all of its paths alike.
+    /// Cuts all paths between these groups, and sets the faults on the paths within each group.
     pub fn partition(&mut self, groups: &[&[usize]], within: PathFaults) {
         let between = PathFaults {
             cut: true,
@@ -33,14 +33,14 @@
         }
     }
 
-    /// Sends garbage to a proxy's cluster port, so many datagrams a second, until a moment.
+    /// Sends random datagrams to a proxy's cluster port at `rate` per second until `until_ms`.
     pub(crate) fn flood(&mut self, proxy: usize, rate: f64, until_ms: f64) {
-        // A machine that is out of sockets skips this batch.
+        // Skips this batch if the system has no free socket.
         if let Ok(socket) = UdpSocket::bind((Ipv4Addr::LOCALHOST, 0)) {
             for _ in 0..(rate * FLOOD_INTERVAL_MS / 1000.0).round() as usize {
-                let length = self.random.random_range(0..LONGEST_GARBAGE);
+                let length = self.random.random_range(0..MAX_GARBAGE_BYTES);
                 let garbage: Vec<u8> = (0..length).map(|_| self.random.random()).collect();
-                // What a dead proxy's port refuses is lost, as on any network.
+                // A datagram to the closed port of a dead proxy is lost.
                 let _ = socket.send_to(&garbage, self.proxies[proxy].cluster_listen);
             }
         }
--- a/fault-injection/src/harness/proxies.rs
+++ b/fault-injection/src/harness/proxies.rs
@@ -1,4 +1,4 @@
-//! What is done to the proxy processes.
+//! Starts, stops and configures the proxy processes.
 
 use super::event_loop::{EventLoop, Role};
 use super::{Harness, CLUSTER_KEY};
@@ -6,8 +6,8 @@
 use crate::proxy_process::ProxyProcess;
 use std::net::SocketAddr;
 
-/// How long clients go on sending requests to a proxy that is dead or stopped.
-const CLIENTS_NOTICE_MS: f64 = 400.0;
+/// How long clients keep sending requests to a dead or stopped proxy.
+const CLIENT_FAILOVER_DELAY_MS: f64 = 400.0;
 
 impl Harness {
     pub(super) fn add_proxies(&mut self) {
@@ -20,7 +20,7 @@
             let advertised = self
                 .relays
                 .add(cluster_listen, self.event_loop.registry(), token)
-                .expect("a free port on loopback");
+                .expect("binding and registering a relay succeeds");
             let process = ProxyProcess::new(&self.start, proxy, cluster_listen, advertised);
             self.proxies.push(process);
         }
@@ -29,15 +29,15 @@
         }
     }
 
-    /// Writes a proxy's files as they are at the start of a run.
+    /// Writes a proxy's files with the initial cluster key.
     pub(crate) fn write_files(&self, proxy: usize) {
         self.furnish(proxy, &[CLUSTER_KEY]);
     }
 
-    /// Writes a proxy's files, with these cluster keys.
+    /// Writes a proxy's files with these cluster keys.
     ///
     /// # Panics
-    /// If the run's folder cannot be written to.
+    /// If the run's directory is not writable.
     pub fn furnish(&self, proxy: usize, keys: &[&str]) {
         let mut settings = self.environment.settings(proxy);
         if let Some(configured) = self.start.configured_proxies {
@@ -56,7 +56,7 @@
         process.write_configuration(&configuration, &seeds, keys);
     }
 
-    /// Starts a proxy's process. Clients send requests to it once it has answered an observer.
+    /// Starts a proxy's process. Clients send requests to it once it has reported a view.
     ///
     /// # Panics
     /// If the program cannot be started, or the proxy already has a process.
@@ -66,7 +66,7 @@
         self.observe(proxy);
     }
 
-    /// Starts all proxies, with no state.
+    /// Starts all proxies without saved state.
     ///
     /// # Panics
     /// If the program cannot be started, or a proxy already has a process.
@@ -76,44 +76,44 @@
         }
     }
 
-    /// SIGKILL.
+    /// Sends SIGKILL to a proxy.
     pub fn kill(&mut self, proxy: usize) {
-        self.measurements.cpu_of_ended_ms += self.proxies[proxy].cpu_ms();
+        self.measurements.exited_cpu_ms += self.proxies[proxy].cpu_ms();
         self.proxies[proxy].kill();
-        self.expect_no_answers(proxy);
+        self.handle_unresponsive_proxy(proxy);
     }
 
-    /// SIGSTOP: it lives and does nothing.
+    /// Stops a proxy with SIGSTOP.
     pub fn stop(&mut self, proxy: usize) {
         self.proxies[proxy].stop();
-        self.expect_no_answers(proxy);
+        self.handle_unresponsive_proxy(proxy);
     }
 
-    /// SIGCONT: it goes on where it was.
+    /// Resumes a stopped proxy with SIGCONT.
     pub fn go_on(&mut self, proxy: usize) {
         self.proxies[proxy].resume();
         self.clients.in_rotation[proxy] = true;
     }
 
-    /// SIGTERM: graceful shutdown. Clients are notified at once.
+    /// Starts a proxy's graceful shutdown with SIGTERM, and removes it from rotation immediately.
     pub fn terminate(&mut self, proxy: usize) {
         self.proxies[proxy].terminate();
         self.clients.in_rotation[proxy] = false;
-        // Views that it still gives until it has ended are of a process that is going.
+        // Ignores the views that it reports while shutting down.
         self.observations.started_ms[proxy] = f64::INFINITY;
     }
 
-    /// A dead or stopped proxy owes no answers, and clients notice after a while.
-    fn expect_no_answers(&mut self, proxy: usize) {
-        self.clients.excuse_requests_at(proxy);
-        self.schedule(CLIENTS_NOTICE_MS, move |harness| {
+    /// Exempts the requests at a dead or stopped proxy, and removes it from rotation after a delay.
+    fn handle_unresponsive_proxy(&mut self, proxy: usize) {
+        self.clients.exempt_requests_at(proxy);
+        self.schedule(CLIENT_FAILOVER_DELAY_MS, move |harness| {
             let process = &mut harness.proxies[proxy];
             let in_rotation = &mut harness.clients.in_rotation[proxy];
             *in_rotation = !process.stopped && *in_rotation && process.runs();
         });
     }
 
-    /// Whether a proxy accepts connections of clients.
+    /// Returns whether a proxy accepts client connections.
     pub(crate) fn accepts_clients(&self, proxy: usize) -> bool {
         std::net::TcpStream::connect(self.proxies[proxy].listen).is_ok()
     }
--- a/fault-injection/src/harness/shutdowns.rs
+++ b/fault-injection/src/harness/shutdowns.rs
@@ -1,5 +1,5 @@
-//! Planned restarts and upgrades as the platform carries them out: SIGTERM, clients that go on using the connections
-//! that they have, and SIGKILL at the earliest that is allowed.
+//! Graceful restarts and upgrades as a platform performs them: SIGTERM, clients that keep using their connections,
+//! and SIGKILL at the end of the shortest permitted grace period.
 
 use super::admin_calls::AdminCall;
 use super::event_loop::Role;
@@ -8,27 +8,27 @@
 use rand::RngExt;
 use std::ops::Range;
 
-/// New connections go on coming for so long after SIGTERM.
-const NEW_CONNECTIONS_MS: Range<f64> = 200.0..400.0;
-/// SIGKILL comes so long after the longest deadline, counted from SIGTERM, at the earliest.
-const KILL_AFTER_DEADLINE_MS: f64 = 700.0;
-/// A deadline counts as this at most.
-const LONGEST_DEADLINE_MS: f64 = 3000.0;
-const READINESS_INTERVAL_MS: f64 = 50.0;
+/// Delay between SIGTERM and the proxy's removal from rotation; new connections still arrive meanwhile.
+const ROTATION_REMOVAL_DELAY_MS: Range<f64> = 200.0..400.0;
+/// Margin between the longest request deadline, counted from SIGTERM, and SIGKILL.
+const KILL_MARGIN_MS: f64 = 700.0;
+/// Upper bound of the request deadline that delays SIGKILL.
+const MAX_DEADLINE_MS: f64 = 3000.0;
+const READINESS_POLL_INTERVAL_MS: f64 = 50.0;
 
-/// Which proxies are shutting down, and when processes were started and ready.
+/// The shutdown and readiness state of the proxies.
 pub(super) struct Shutdowns {
     shutting_down: Vec<bool>,
-    /// When each proxy's current process was started, and when it was first ready.
-    starts: Vec<StartTimes>,
-    /// All times from a start to readiness, in milliseconds; `None` for a process that was never ready.
-    ready_times_ms: Vec<(usize, Option<f64>)>,
-    /// Spans in which a proxy was being restarted: from SIGTERM until its next process was ready.
+    /// The startup state of each proxy's current process.
+    startups: Vec<StartupState>,
+    /// Times from a process's start to its readiness, with the proxy.
+    startup_times_ms: Vec<(usize, Option<f64>)>,
+    /// Periods from SIGTERM until the proxy's next process is ready.
     outages: Vec<(usize, Range<f64>)>,
 }
 
 #[derive(Clone, Copy, Default)]
-struct StartTimes {
+struct StartupState {
     started_ms: f64,
     is_ready: bool,
 }
@@ -37,8 +37,8 @@
     pub(super) fn new(proxies: usize) -> Self {
         Shutdowns {
             shutting_down: vec![false; proxies],
-            starts: vec![StartTimes::default(); proxies],
-            ready_times_ms: Vec::new(),
+            startups: vec![StartupState::default(); proxies],
+            startup_times_ms: Vec::new(),
             outages: Vec::new(),
         }
     }
@@ -49,21 +49,21 @@
 }
 
 impl Harness {
-    /// How long after SIGTERM SIGKILL comes.
+    /// Returns the delay between SIGTERM and SIGKILL.
     fn kill_delay_ms(&self) -> f64 {
         let classes = self.environment.request_classes.iter();
         let longest_ms = classes.map(|class| class.ttl_ms).fold(0.0, f64::max);
-        longest_ms.min(LONGEST_DEADLINE_MS) + KILL_AFTER_DEADLINE_MS
+        longest_ms.min(MAX_DEADLINE_MS) + KILL_MARGIN_MS
     }
 
-    /// Starts a proxy's process; it gets requests once it says that it is ready.
-    pub(crate) fn start_when_ready(&mut self, proxy: usize, keep_state: bool) {
+    /// Starts a proxy's process, and adds it to rotation once it reports readiness.
+    pub(crate) fn start_with_readiness_checks(&mut self, proxy: usize, keep_state: bool) {
         self.proxies[proxy].start(keep_state);
-        self.begin_readiness_checks(proxy);
+        self.start_readiness_checks(proxy);
     }
 
-    fn begin_readiness_checks(&mut self, proxy: usize) {
-        self.shutdowns.starts[proxy] = StartTimes {
+    fn start_readiness_checks(&mut self, proxy: usize) {
+        self.shutdowns.startups[proxy] = StartupState {
             started_ms: self.now(),
             is_ready: false,
         };
@@ -71,25 +71,25 @@
     }
 
     fn check_readiness(&mut self, proxy: usize) {
-        if self.shutdowns.starts[proxy].is_ready || self.shutdowns.shutting_down[proxy] {
+        if self.shutdowns.startups[proxy].is_ready || self.shutdowns.shutting_down[proxy] {
             return;
         }
         self.call_admin(proxy, AdminCall::Readiness);
-        self.schedule(READINESS_INTERVAL_MS, move |harness| {
+        self.schedule(READINESS_POLL_INTERVAL_MS, move |harness| {
             harness.check_readiness(proxy);
         });
     }
 
-    /// The current process of a proxy says that it is ready.
+    /// Handles a readiness response of a proxy's current process.
     pub(super) fn on_ready(&mut self, proxy: usize) {
         let now_ms = self.now();
-        let start = &mut self.shutdowns.starts[proxy];
-        if start.is_ready || self.shutdowns.shutting_down[proxy] {
+        let startup = &mut self.shutdowns.startups[proxy];
+        if startup.is_ready || self.shutdowns.shutting_down[proxy] {
             return;
         }
-        start.is_ready = true;
-        let took_ms = now_ms - start.started_ms;
-        self.shutdowns.ready_times_ms.push((proxy, Some(took_ms)));
+        startup.is_ready = true;
+        let took_ms = now_ms - startup.started_ms;
+        self.shutdowns.startup_times_ms.push((proxy, Some(took_ms)));
         self.clients.in_rotation[proxy] = true;
         for (of, outage) in &mut self.shutdowns.outages {
             if *of == proxy && outage.end.is_infinite() {
@@ -97,71 +97,73 @@
             }
         }
         if self.proxies[proxy].has_older() {
-            self.end_upgrade(proxy);
+            self.retire_older_process(proxy);
         }
     }
 
-    /// Whether the current process of a proxy has said that it is ready.
+    /// Returns whether a proxy's current process has reported readiness.
     pub(crate) fn is_ready(&self, proxy: usize) -> bool {
-        self.shutdowns.starts[proxy].is_ready
+        self.shutdowns.startups[proxy].is_ready
     }
 
-    /// The times from each start to readiness; `None` where a process was never ready.
-    pub(crate) fn ready_times_ms(&self) -> Vec<(usize, Option<f64>)> {
-        let never = (0..self.proxies.len())
+    /// Returns each startup time with its proxy; `None` for a current process that is not ready.
+    pub(crate) fn startup_times_ms(&self) -> Vec<(usize, Option<f64>)> {
+        let not_ready = (0..self.proxies.len())
             .filter(|proxy| !self.is_ready(*proxy))
             .map(|proxy| (proxy, None));
         self.shutdowns
-            .ready_times_ms
+            .startup_times_ms
             .iter()
             .copied()
-            .chain(never)
+            .chain(not_ready)
             .collect()
     }
 
-    /// Whether a proxy was being restarted at any time of a span.
-    pub(crate) fn was_restarted_within(&self, proxy: usize, span_ms: &Range<f64>) -> bool {
+    /// Returns whether a proxy was restarting at any time within a period.
+    pub(crate) fn was_restarting_during(&self, proxy: usize, span_ms: &Range<f64>) -> bool {
         self.shutdowns.outages.iter().any(|(of, outage)| {
             *of == proxy && outage.start < span_ms.end && span_ms.start < outage.end
         })
     }
 
-    /// SIGTERM; SIGKILL at the earliest, and a new start at once.
-    pub(crate) fn restart_as_planned(&mut self, proxy: usize) {
+    /// Sends SIGTERM, then SIGKILL after the grace period, and starts a new process.
+    pub(crate) fn restart_gracefully(&mut self, proxy: usize) {
         let now_ms = self.now();
         self.proxies[proxy].terminate();
         self.shutdowns.shutting_down[proxy] = true;
         self.shutdowns.outages.push((proxy, now_ms..f64::INFINITY));
-        let new_connections_ms = self.random.random_range(NEW_CONNECTIONS_MS);
-        self.schedule(new_connections_ms, move |harness| {
+        let removal_delay_ms = self.random.random_range(ROTATION_REMOVAL_DELAY_MS);
+        self.schedule(removal_delay_ms, move |harness| {
             harness.clients.in_rotation[proxy] = false;
         });
         let kill_delay_ms = self.kill_delay_ms();
-        self.schedule(kill_delay_ms, move |harness| harness.end_restart(proxy));
+        self.schedule(kill_delay_ms, move |harness| {
+            harness.kill_and_restart(proxy)
+        });
     }
 
-    /// SIGKILL. What it finds unanswered is lost.
-    fn end_restart(&mut self, proxy: usize) {
-        self.judge_unanswered(proxy);
+    /// Sends SIGKILL and starts a new process; requests without a response are violations.
+    fn kill_and_restart(&mut self, proxy: usize) {
+        self.check_unanswered(proxy);
         self.proxies[proxy].kill();
-        // Its connections end now, and nothing of them is owed any more.
-        self.pass_over_connections(proxy);
+        self.close_client_connections(proxy);
         self.shutdowns.shutting_down[proxy] = false;
-        // Whoever starts a process gives it a whole file; one that was cut short is for reloads alone.
+        // Restores the configuration, which a reload may have truncated.
         self.write_files(proxy);
-        self.start_when_ready(proxy, true);
+        self.start_with_readiness_checks(proxy, true);
     }
 
-    fn judge_unanswered(&mut self, proxy: usize) {
+    /// Reports all pending requests at a proxy to the invariant checker as unanswered.
+    fn check_unanswered(&mut self, proxy: usize) {
         let now_ms = self.now();
-        for number in self.clients.take_unanswered_at(proxy) {
-            let request = &self.clients.requests[number];
-            self.invariants.deadline_passed(now_ms, &request.lifecycle);
+        for request in self.clients.take_unanswered_at(proxy) {
+            let request = &self.clients.requests[request];
+            self.invariants.deadline_passed(now_ms, &request.history);
         }
     }
 
-    /// Closes the clients' connections to a process that was killed.
-    fn pass_over_connections(&mut self, proxy: usize) {
+    /// Closes all client connections to a proxy.
+    fn close_client_connections(&mut self, proxy: usize) {
         let connections: Vec<usize> = self
             .event_loop
             .connections
@@ -174,8 +176,8 @@
         }
     }
 
-    /// Starts a newer process beside a proxy's running one, unless that is being restarted. Operators call the older
-    /// one until the newer is ready.
+    /// Starts a newer process beside a proxy's running one, if that is ready. Operators' calls go to the older process
+    /// until the newer one is ready.
     pub(crate) fn upgrade(&mut self, proxy: usize) {
         if self.shutdowns.shutting_down[proxy] || !self.is_ready(proxy) {
             return;
@@ -186,11 +188,11 @@
         self.proxies[proxy].start_newer();
         self.proxies[proxy].newer_admin = Some(self.proxies[proxy].admin);
         self.proxies[proxy].admin = older_admin;
-        self.begin_readiness_checks(proxy);
+        self.start_readiness_checks(proxy);
     }
 
-    /// The newer process is ready: SIGTERM to the older one, SIGKILL at the earliest.
-    fn end_upgrade(&mut self, proxy: usize) {
+    /// Sends SIGTERM to the older process, then SIGKILL after the grace period.
+    fn retire_older_process(&mut self, proxy: usize) {
         if let Some(admin) = self.proxies[proxy].newer_admin.take() {
             self.proxies[proxy].admin = admin;
         }
--- a/fault-injection/src/run/report.rs
+++ b/fault-injection/src/run/report.rs
@@ -153,7 +153,7 @@
             latency_p999_ms,
             datagram_bytes_per_second: self.resource_use.datagram_bytes_per_second,
             cpu_ms_per_second: self.resource_use.cpu_ms_per_second,
-            by_second: harness.by_second(),
+            by_second: harness.in_time_fraction_by_second(),
         }
     }
 
@@ -199,7 +199,7 @@
             .iter()
             .map(|healed_ms| {
                 let until_ms = healed_ms + CONVERGENCE_TIMEOUT_MS;
-                let converged_ms = self.harness.converged(*healed_ms, until_ms)?;
+                let converged_ms = self.harness.converged_at_ms(*healed_ms, until_ms)?;
                 Some(converged_ms - healed_ms)
             })
             .collect();
@@ -247,7 +247,7 @@
 
     /// The latencies, and their 99.9th percentile.
     fn latencies(&self) -> (Times, f64) {
-        let mut latencies_ms: Vec<f64> = self.harness.latencies().to_vec();
+        let mut latencies_ms: Vec<f64> = self.harness.latencies_ms().to_vec();
         latencies_ms.sort_by(f64::total_cmp);
         let p999_index = (latencies_ms.len() as f64 * 0.999) as usize;
         let p999_ms = latencies_ms.get(p999_index).copied().unwrap_or(0.0);
--- a/fault-injection/src/soak/checks.rs
+++ b/fault-injection/src/soak/checks.rs
@@ -91,7 +91,7 @@
 }
 
 fn late_readiness(harness: &Harness) -> Vec<Finding> {
-    let times = harness.ready_times_ms().into_iter();
+    let times = harness.startup_times_ms().into_iter();
     times
         .filter(|(_, took_ms)| took_ms.is_none_or(|took_ms| took_ms > READY_WITHIN_MS))
         .map(|(proxy, took_ms)| Finding {
@@ -108,8 +108,8 @@
         let span_ms = *recovered_ms..recovered_ms + HEARD_WITHIN_MS + LOOP_LATENESS_MS;
         for proxy in 0..harness.proxies.len() {
             // A process that was started meanwhile asks for the whole list.
-            let ran = !harness.was_restarted_within(proxy, &span_ms);
-            if ran && !harness.was_told(proxy, *version, span_ms.end) {
+            let ran = !harness.was_restarting_during(proxy, &span_ms);
+            if ran && !harness.was_sent_version(proxy, *version, span_ms.end) {
                 findings.push(Finding {
                     proxy: Some(proxy),
                     kind: FindingKind::ListNotHeard { version: *version },
@@ -157,7 +157,7 @@
 
 /// Once clients have left, a process holds what it held before the load, and kept connections to endpoints.
 fn held_descriptors(harness: &mut Harness, proxy: usize, at_rest: usize) -> Option<FindingKind> {
-    harness.close_unused_connections();
+    harness.close_idle_connections();
     let excess = |harness: &Harness| {
         let after = harness.proxies[proxy].open_descriptors()?;
         let upstream = harness.endpoint_connections(proxy);
--- a/fault-injection/src/soak/mod.rs
+++ b/fault-injection/src/soak/mod.rs
@@ -71,11 +71,11 @@
     schedule(&mut harness, &plan, &record);
     harness.open();
     if plan.idle_clients > 0 {
-        harness.begin_idle_clients(plan.idle_clients);
+        harness.start_idle_clients(plan.idle_clients);
     }
     harness.pass(LOAD_MS);
     harness.shut();
-    harness.end_idle_clients();
+    harness.stop_idle_clients();
     harness.pass(SETTLE_MS);
     let record = record.borrow();
     Ok(checks::judge(&mut harness, seed, &at_rest, &record))
@@ -84,7 +84,7 @@
 fn start_all(harness: &mut Harness) -> Result<(), SoakError> {
     let proxies = harness.proxies.len();
     for proxy in 0..proxies {
-        harness.start_when_ready(proxy, false);
+        harness.start_with_readiness_checks(proxy, false);
     }
     let timeout_ms = checks::READY_WITHIN_MS;
     harness.until(timeout_ms, |harness| {
@@ -114,7 +114,7 @@
     match action {
         SoakAction::Reload { proxy, file } => reload(harness, proxy, file),
         SoakAction::LogCounters { proxy } => harness.proxies[proxy].log_counters(),
-        SoakAction::Restart { proxy } => harness.restart_as_planned(proxy),
+        SoakAction::Restart { proxy } => harness.restart_gracefully(proxy),
         SoakAction::TerminateAgain { proxy } => harness.proxies[proxy].terminate(),
         SoakAction::Upgrade { proxy } => harness.upgrade(proxy),
         SoakAction::DiscoveryFails { outage } => fail_discovery(harness, outage),
