--- a/proxy/src/descriptors/limit.rs
+++ b/proxy/src/descriptors/limit.rs
@@ -5,7 +5,7 @@
 /// The share of the system's limit that is kept for connections to endpoints where that limit is too low for the
 /// tables of connections to be filled. Clients get the rest: those that say nothing are closed after a grace, so
 /// that fewer places for them make every client wait longer.
-const ATTEMPT_SHARE: usize = 8;
+const ATTEMPT_SHARE_DIVISOR: usize = 8;
 
 /// The most descriptors that the system lets this process open; none where there is no limit.
 fn system_limit() -> Option<usize> {
@@ -18,7 +18,7 @@
 /// sides and nothing has to be reserved.
 pub fn attempt_reserve(configured: usize) -> usize {
     match system_limit() {
-        Some(limit) if limit < configured => limit / ATTEMPT_SHARE,
+        Some(limit) if limit < configured => limit / ATTEMPT_SHARE_DIVISOR,
         _ => 0,
     }
 }
--- a/proxy/src/descriptors/mod.rs
+++ b/proxy/src/descriptors/mod.rs
@@ -19,7 +19,7 @@
 use std::io;
 
 /// A file that every process may open.
-const PLACEHOLDER: &str = "/dev/null";
+const PLACEHOLDER_PATH: &str = "/dev/null";
 
 /// What a file descriptor is wanted for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/proxy/src/descriptors/proxy_reserve.rs
+++ b/proxy/src/descriptors/proxy_reserve.rs
@@ -5,7 +5,7 @@
 use std::io;
 
 /// Connections to the admin API: one call, and another beside it, such as a readiness check.
-const ADMIN_CALLERS: usize = 2;
+const RESERVED_ADMIN_CONNECTIONS: usize = 2;
 
 impl Proxy {
     /// Opens something that stays open, on a descriptor that is reserved for its purpose. Where none is left, idle
@@ -60,12 +60,12 @@
 
     /// The same for one purpose. To be called as soon as a descriptor of that purpose is closed, while it is free.
     pub(crate) fn replenish_reserve_of(&mut self, purpose: DescriptorPurpose) -> bool {
-        let count = self.reserve_of(purpose);
+        let count = self.required_reserve(purpose);
         self.reserved_descriptors.hold(purpose, count)
     }
 
     /// How many descriptors are to be held for a purpose: what it is owed, less what it has open.
-    fn reserve_of(&self, purpose: DescriptorPurpose) -> usize {
+    fn required_reserve(&self, purpose: DescriptorPurpose) -> usize {
         match purpose {
             DescriptorPurpose::Client => 0,
             DescriptorPurpose::Attempt => {
@@ -74,7 +74,7 @@
             }
             DescriptorPurpose::Discovery => usize::from(!self.discovery.is_connected()),
             DescriptorPurpose::AdminCaller if self.admin.is_listening() => {
-                ADMIN_CALLERS.saturating_sub(self.admin.caller_count())
+                RESERVED_ADMIN_CONNECTIONS.saturating_sub(self.admin.caller_count())
             }
             DescriptorPurpose::AdminCaller => 0,
             DescriptorPurpose::File => 1,
--- a/proxy/src/descriptors/reserve.rs
+++ b/proxy/src/descriptors/reserve.rs
@@ -1,6 +1,6 @@
 //! Descriptors held in reserve, by purpose.
 
-use super::{is_out_of_descriptors, DescriptorPurpose, PLACEHOLDER};
+use super::{is_out_of_descriptors, DescriptorPurpose, PLACEHOLDER_PATH};
 use std::fmt;
 use std::fs::File;
 
@@ -25,7 +25,7 @@
         let held = &mut self.held[purpose.index()];
         held.truncate(count);
         while held.len() < count {
-            match File::open(PLACEHOLDER) {
+            match File::open(PLACEHOLDER_PATH) {
                 Ok(file) => held.push(file),
                 Err(error) => return !is_out_of_descriptors(&error),
             }
--- a/proxy/src/discovery/connection.rs
+++ b/proxy/src/discovery/connection.rs
@@ -185,7 +185,7 @@
         return Ok(false);
     };
     let complete = message
-        .advance(received)
+        .decode_body(received)
         .map_err(|_| PollError::InvalidResponseBody)?;
     Ok(complete || (ended && message.ends_at_close()))
 }
--- a/proxy/src/downstream/accept.rs
+++ b/proxy/src/downstream/accept.rs
@@ -10,7 +10,7 @@
 use std::io;
 
 /// How soon accepting is tried again after an error: a few times before any client gives up.
-const ACCEPT_RETRY_MS: f64 = 50.0;
+const ACCEPT_RETRY_DELAY_MS: f64 = 50.0;
 
 impl Proxy {
     /// Has the event loop watch the listener.
@@ -89,7 +89,7 @@
     }
 
     fn retry_accept_later(&mut self) {
-        let at_ms = self.now() + ACCEPT_RETRY_MS;
+        let at_ms = self.now() + ACCEPT_RETRY_DELAY_MS;
         let retry = self.timers.set(at_ms, |proxy: &mut Proxy| proxy.accept());
         self.downstream.accept_retry = Some(retry);
     }
@@ -117,7 +117,7 @@
             .table
             .insert(DownstreamConnection::new(stream, now_ms));
         // Connections by hundreds that never say anything would hold descriptors for good.
-        self.limit_wait(key, REQUEST_TIMEOUT_MS);
+        self.set_read_timeout(key, REQUEST_TIMEOUT_MS);
         self.counters.connections_accepted += 1;
         self.downstream.ready.push(key);
     }
--- a/proxy/src/downstream/close.rs
+++ b/proxy/src/downstream/close.rs
@@ -1,7 +1,7 @@
 //! How clients' connections end.
 
 use super::connection::{ConnectionState, DownstreamConnection, ResponseSource};
-use super::{DISCARD_BYTES, LINGER_MS};
+use super::{DISCARD_BUFFER_BYTES, LINGER_TIMEOUT_MS};
 use crate::buffers::MAX_BODY_BYTES;
 use crate::metrics::access::RequestOutcome;
 use crate::proxy::Proxy;
@@ -13,7 +13,7 @@
 
 impl Proxy {
     /// Takes no more clients: those that wait are accepted and the listener is closed.
-    pub fn shut(&mut self) {
+    pub fn close_listener(&mut self) {
         if !self.upgrade.has_newer_process() {
             self.accept();
         }
@@ -22,7 +22,7 @@
     }
 
     /// Closes a connection: the one place where it and its buffers are given back.
-    pub fn drop_downstream(&mut self, key: DownstreamKey) {
+    pub fn close_downstream(&mut self, key: DownstreamKey) {
         let Some(mut client) = self.downstream.table.remove(key) else {
             return;
         };
@@ -78,10 +78,10 @@
             return false;
         };
         // A client that goes on sending at full speed would keep the event loop for itself.
-        if lingering.is_spent() {
+        if lingering.limit_reached() {
             return false;
         }
-        match client.stream.read(&mut [0; DISCARD_BYTES]) {
+        match client.stream.read(&mut [0; DISCARD_BUFFER_BYTES]) {
             Ok(read @ 1..) => {
                 lingering.discarded_bytes += read;
                 client.last_progress_ms = self.clock.now();
@@ -89,7 +89,7 @@
             }
             Err(error) if error.kind() == io::ErrorKind::WouldBlock => false,
             _ => {
-                self.drop_downstream(key);
+                self.close_downstream(key);
                 false
             }
         }
@@ -97,24 +97,28 @@
 
     /// A client has lingered for a while: one whose body still comes may go on, or it would not read its
     /// response.
-    pub(super) fn linger_timeout(&mut self, key: DownstreamKey) {
+    pub(super) fn linger_timeout_expired(&mut self, key: DownstreamKey) {
         let now_ms = self.clock.now();
         let Some(client) = self.downstream.table.get_mut(key) else {
             return;
         };
         client.timer = None;
-        let body_still_comes = match &client.state {
+        let still_receiving_body = match &client.state {
             ConnectionState::Lingering(lingering) => {
                 lingering.body_outstanding
-                    && now_ms - client.last_progress_ms < LINGER_MS
+                    && now_ms - client.last_progress_ms < LINGER_TIMEOUT_MS
                     && lingering.discarded_bytes < MAX_BODY_BYTES
             }
             _ => false,
         };
-        if body_still_comes {
-            self.set_downstream_timer(key, now_ms + LINGER_MS, Proxy::linger_timeout);
+        if still_receiving_body {
+            self.set_downstream_timer(
+                key,
+                now_ms + LINGER_TIMEOUT_MS,
+                Proxy::linger_timeout_expired,
+            );
         } else {
-            self.drop_downstream(key);
+            self.close_downstream(key);
         }
     }
 }
--- a/proxy/src/downstream/connection.rs
+++ b/proxy/src/downstream/connection.rs
@@ -19,7 +19,7 @@
 /// | --- | --- | --- |
 /// | `Idle` | `begin_request` | `ReadingRequest` |
 /// | `ReadingRequest` | `await_response` | `AwaitingResponse` |
-/// | `AwaitingResponse` | `stop_awaiting`, as it is answered or rejected | `ReadingRequest` |
+/// | `AwaitingResponse` | `stop_awaiting_response`, as it is answered or rejected | `ReadingRequest` |
 /// | `AwaitingResponse` | `stream_response_from` | `StartingResponse` |
 /// | `Idle`, `ReadingRequest`, `StartingResponse` | `begin_response` | `WritingResponse` |
 /// | `WritingResponse` | `end_response` | `Idle`, or `ReadingRequest` where the next one has begun |
@@ -75,7 +75,7 @@
 impl Lingering {
     /// Whether no more of it is read. What the client sends past this stays with its own machine until the
     /// connection is closed.
-    pub(super) fn is_spent(&self) -> bool {
+    pub(super) fn limit_reached(&self) -> bool {
         let most = if self.body_outstanding {
             MAX_BODY_BYTES
         } else {
@@ -120,7 +120,7 @@
     /// The upstream connection to which its body is streamed.
     pub(super) upstream: Option<UpstreamKey>,
     /// The first piece of its body has left the buffer: it cannot be sent to another endpoint any more.
-    pub(super) released: bool,
+    pub(super) first_piece_sent: bool,
     /// Since when its body comes at the client's pace, and how many bytes have come since.
     pub(super) body_since_ms: f64,
     pub(super) body_bytes: usize,
@@ -184,7 +184,7 @@
             message,
             kind,
             upstream: None,
-            released: false,
+            first_piece_sent: false,
             body_since_ms: now_ms,
             body_bytes: 0,
         });
@@ -196,7 +196,7 @@
     }
 
     /// The response is no longer awaited; the request whose it was.
-    pub(super) fn stop_awaiting(&mut self) -> Option<RequestId> {
+    pub(super) fn stop_awaiting_response(&mut self) -> Option<RequestId> {
         let request_id = self.awaited_request()?;
         self.state = ConnectionState::ReadingRequest;
         Some(request_id)
@@ -295,7 +295,7 @@
     }
 
     /// By when more of its request's body must have come.
-    pub(super) fn body_due_ms(&self) -> f64 {
+    pub(super) fn body_deadline_ms(&self) -> f64 {
         let stalled_at = self.last_progress_ms + REQUEST_TIMEOUT_MS;
         let Some(request) = &self.request else {
             return stalled_at;
--- a/proxy/src/downstream/connections.rs
+++ b/proxy/src/downstream/connections.rs
@@ -131,13 +131,13 @@
     /// The request that a client is sending, for whoever streams its body.
     pub fn upload(&mut self, key: DownstreamKey) -> Option<Upload<'_>> {
         let client = self.table.get_mut(key)?;
-        let inbox = client.read_buffer.as_mut()?;
+        let read_buffer = client.read_buffer.as_mut()?;
         let request = client.request.as_mut()?;
         Some(Upload {
             stream: &mut client.stream,
-            inbox,
+            read_buffer,
             message: &mut request.message,
-            released: &mut request.released,
+            first_piece_sent: &mut request.first_piece_sent,
             received_bytes: &mut request.body_bytes,
             last_received_at: &mut client.last_progress_ms,
         })
@@ -180,7 +180,7 @@
     }
 
     /// A client has been given more of its response: its time to take it starts now, not as its endpoint paused.
-    pub fn restart_response_timeout(&mut self, key: DownstreamKey, now_ms: f64) {
+    pub fn restart_write_timeout(&mut self, key: DownstreamKey, now_ms: f64) {
         if let Some(client) = self.table.get_mut(key) {
             client.last_progress_ms = now_ms;
         }
@@ -194,7 +194,7 @@
     }
 
     /// A client has closed its side or reset the connection; what it sent before that may still be unread.
-    pub fn mark_closed(&mut self, key: DownstreamKey) {
+    pub fn mark_peer_closed(&mut self, key: DownstreamKey) {
         if let Some(client) = self.table.get_mut(key) {
             client.peer_closed = true;
             self.closed_by_peer.push(key);
@@ -202,12 +202,12 @@
     }
 
     /// The connections that were marked as closed since the last call.
-    pub fn take_closed(&mut self) -> Vec<DownstreamKey> {
+    pub fn take_peer_closed(&mut self) -> Vec<DownstreamKey> {
         std::mem::take(&mut self.closed_by_peer)
     }
 
     /// A client may have more to say.
-    pub fn serve_later(&mut self, key: DownstreamKey) {
+    pub fn mark_ready(&mut self, key: DownstreamKey) {
         self.ready.push(key);
     }
 }
--- a/proxy/src/downstream/eviction.rs
+++ b/proxy/src/downstream/eviction.rs
@@ -19,22 +19,22 @@
     ///
     /// Were idle ones always first, a new client would go before it could speak, and hundreds that say nothing
     /// would push out those that do.
-    fn least_needed(&self, now_ms: f64) -> Option<DownstreamKey> {
-        let is_settled = |client: &DownstreamConnection| {
+    fn eviction_candidate(&self, now_ms: f64) -> Option<DownstreamKey> {
+        let is_evictable = |client: &DownstreamConnection| {
             !client.is_busy() && now_ms - client.idle_since_ms > NEW_CLIENT_GRACE_MS
         };
-        let longest_idle = |is_candidate: &dyn Fn(&DownstreamConnection) -> bool| {
+        let longest_idle_key = |is_candidate: &dyn Fn(&DownstreamConnection) -> bool| {
             self.table
                 .key_with_least(|client| is_candidate(client).then_some(client.idle_since_ms))
         };
-        longest_idle(&|client| client.is_lingering() && is_settled(client))
+        longest_idle_key(&|client| client.is_lingering() && is_evictable(client))
             .or_else(|| {
-                longest_idle(&|client| {
-                    client.responses_sent == 0 && !client.is_lingering() && is_settled(client)
+                longest_idle_key(&|client| {
+                    client.responses_sent == 0 && !client.is_lingering() && is_evictable(client)
                 })
             })
-            .or_else(|| longest_idle(&|client| !client.is_lingering() && is_settled(client)))
-            .or_else(|| longest_idle(&DownstreamConnection::is_lingering))
+            .or_else(|| longest_idle_key(&|client| !client.is_lingering() && is_evictable(client)))
+            .or_else(|| longest_idle_key(&DownstreamConnection::is_lingering))
     }
 }
 
@@ -43,11 +43,11 @@
     /// counts as received, and is read first.
     pub(super) fn evict_client(&mut self) -> bool {
         self.counters.capacity_exhausted += 1;
-        while let Some(key) = self.downstream.least_needed(self.clock.now()) {
-            self.serve(key);
+        while let Some(key) = self.downstream.eviction_candidate(self.clock.now()) {
+            self.serve_client(key);
             let client = self.downstream.table.get(key);
             if client.is_none_or(|client| !client.is_busy()) {
-                self.drop_downstream(key);
+                self.close_downstream(key);
                 return true;
             }
         }
@@ -58,16 +58,16 @@
     /// speak.
     pub fn close_idle_downstream(&mut self) -> bool {
         let now_ms = self.clock.now();
-        let longest_idle = self.downstream.table.key_with_least(|client| {
+        let longest_idle_key = self.downstream.table.key_with_least(|client| {
             let may_close = client.is_idle()
                 && now_ms - client.idle_since_ms > NEW_CLIENT_GRACE_MS
                 && is_silent(&client.stream);
             may_close.then_some(client.idle_since_ms)
         });
-        if let Some(key) = longest_idle {
-            self.drop_downstream(key);
+        if let Some(key) = longest_idle_key {
+            self.close_downstream(key);
         }
-        longest_idle.is_some()
+        longest_idle_key.is_some()
     }
 
     /// Closes connections between requests, once what their clients may have sent is read; those that have just
@@ -75,12 +75,12 @@
     pub fn close_idle(&mut self, all: bool) {
         let now_ms = self.clock.now();
         for key in self.downstream.table.keys_where(|_| true) {
-            self.serve(key);
+            self.serve_client(key);
             let may_close = |client: &DownstreamConnection| {
                 client.is_idle() && (all || now_ms - client.idle_since_ms > NEW_CLIENT_GRACE_MS)
             };
             if self.downstream.table.get(key).is_some_and(may_close) {
-                self.drop_downstream(key);
+                self.close_downstream(key);
             }
         }
     }
@@ -88,12 +88,12 @@
     /// Closes the connections that had their response longest ago, where too many stand idle since theirs.
     pub(super) fn close_excess_idle(&mut self) {
         let now_ms = self.clock.now();
-        self.close_idle_beyond(MAX_IDLE_SHARE_AFTER_ONE, 1, now_ms);
-        self.close_idle_beyond(MAX_IDLE_SHARE, u32::MAX, now_ms);
+        self.close_idle_over_share(MAX_IDLE_SHARE_AFTER_ONE, 1, now_ms);
+        self.close_idle_over_share(MAX_IDLE_SHARE, u32::MAX, now_ms);
     }
 
     /// The same for one share, of connections that had so many responses at most.
-    fn close_idle_beyond(&mut self, max_share: f64, max_responses: u32, now_ms: f64) {
+    fn close_idle_over_share(&mut self, max_share: f64, max_responses: u32, now_ms: f64) {
         let mut idle = self.downstream.table.keys_where(|client| {
             (1..=max_responses).contains(&client.responses_sent)
                 && client.is_idle()
@@ -109,7 +109,7 @@
         for key in idle.into_iter().take(excess) {
             // One that speaks up just now is heard.
             if is_silent(&self.downstream.table[key].stream) {
-                self.drop_downstream(key);
+                self.close_downstream(key);
             }
         }
     }
--- a/proxy/src/downstream/mod.rs
+++ b/proxy/src/downstream/mod.rs
@@ -29,25 +29,25 @@
 /// owed an error or a close.
 const REQUEST_TIMEOUT_MS: f64 = 2500.0;
 /// How long a connection that is being closed is still read, so that its last response is not lost.
-const LINGER_MS: f64 = 1000.0;
+const LINGER_TIMEOUT_MS: f64 = 1000.0;
 /// How many bytes it is still read: more than a socket's buffer holds by the time that the response arrives.
 const MAX_LINGER_BYTES: usize = 256 * 1024;
 /// A client that has connected, or begun a request, goes on at once: within the round trip, which is under
 /// this. Until then it makes no room for others.
 const NEW_CLIENT_GRACE_MS: f64 = 100.0;
 /// How much is read at once of what is discarded.
-const DISCARD_BYTES: usize = 16 * 1024;
+const DISCARD_BUFFER_BYTES: usize = 16 * 1024;
 
 impl Proxy {
     /// Does for a client whatever can be done now.
-    pub fn serve(&mut self, key: DownstreamKey) {
-        while self.write_answer(key) && self.read_request(key) {}
+    pub fn serve_client(&mut self, key: DownstreamKey) {
+        while self.flush_response(key) && self.read_request(key) {}
     }
 
     /// Goes on with clients that were answered, and accepts waiting ones where there is room again.
     pub fn serve_ready_clients(&mut self) {
         while let Some(key) = self.downstream.ready.pop() {
-            self.serve(key);
+            self.serve_client(key);
         }
         if self.downstream.accept_pending && !self.downstream.table.is_full() {
             self.accept();
@@ -59,7 +59,7 @@
         &mut self,
         key: DownstreamKey,
         at_ms: f64,
-        due: fn(&mut Proxy, DownstreamKey),
+        callback: fn(&mut Proxy, DownstreamKey),
     ) {
         let Some(client) = self.downstream.table.get_mut(key) else {
             return;
@@ -67,7 +67,7 @@
         self.timers.cancel(client.timer.take());
         let timer = self
             .timers
-            .set(at_ms, move |proxy: &mut Proxy| due(proxy, key));
+            .set(at_ms, move |proxy: &mut Proxy| callback(proxy, key));
         client.timer = Some(timer);
     }
 }
--- a/proxy/src/downstream/read_request.rs
+++ b/proxy/src/downstream/read_request.rs
@@ -2,7 +2,7 @@
 
 use super::connection::{AfterResponse, ConnectionState};
 use super::request_head::{RequestHead, RequestKind};
-use super::{RequestError, DISCARD_BYTES, REQUEST_TIMEOUT_MS};
+use super::{RequestError, DISCARD_BUFFER_BYTES, REQUEST_TIMEOUT_MS};
 use crate::buffers::{Buffer, ReadOutcome, MAX_BUFFERED_BODY_BYTES};
 use crate::http;
 use crate::proxy::Proxy;
@@ -71,7 +71,7 @@
             return Ok(None);
         };
         let message = &mut request.message;
-        let complete = message.advance(buffer)?;
+        let complete = message.decode_body(buffer)?;
         // One too long to be buffered whole is handled before its end.
         let is_streamed = message.body_end - message.body_start > MAX_BUFFERED_BODY_BYTES;
         Ok((complete || is_streamed).then_some(request.kind))
@@ -128,14 +128,14 @@
             client.read_buffer = Some(buffer);
             // A new connection's time has run since it came.
             if client.begin_request(self.clock.now()) && client.responses_sent > 0 {
-                self.limit_wait(key, REQUEST_TIMEOUT_MS);
+                self.set_read_timeout(key, REQUEST_TIMEOUT_MS);
             }
         }
         match filled {
             ReadOutcome::Received => true,
             ReadOutcome::WouldBlock => false,
             ReadOutcome::Closed | ReadOutcome::Failed => {
-                self.drop_downstream(key);
+                self.close_downstream(key);
                 false
             }
             ReadOutcome::BufferFull => {
@@ -167,7 +167,7 @@
                 } else {
                     http::status::SERVICE_UNAVAILABLE
                 };
-                self.answer(key, status, 0.0);
+                self.send_local_response(key, status, 0.0);
             }
             RequestKind::RetiredClass(class) => {
                 client.receipt = Some(self.access_metrics.request_admitted(class));
@@ -196,7 +196,7 @@
         };
         client.await_response(request_id);
         if client.is_receiving_body() {
-            self.limit_wait(key, REQUEST_TIMEOUT_MS);
+            self.set_read_timeout(key, REQUEST_TIMEOUT_MS);
         }
     }
 
@@ -205,7 +205,7 @@
         let client = &self.downstream.table[key];
         if client.peer_closed {
             // The request of a client that has left would be retried on one endpoint after another.
-            return self.drop_downstream(key);
+            return self.close_downstream(key);
         }
         if client.is_receiving_body() {
             // Whoever its body is streamed to reads on.
@@ -221,17 +221,17 @@
     fn read_pipelined(&mut self, key: DownstreamKey) {
         let client = &mut self.downstream.table[key];
         let mut discarded = 0;
-        let mut discard_buffer = [0; DISCARD_BYTES];
+        let mut discard_buffer = [0; DISCARD_BUFFER_BYTES];
         // A client that goes on sending at full speed would keep the event loop for itself.
         while discarded < MAX_BUFFERED_BODY_BYTES {
-            let keeps_alive = !client.after_response.closes();
-            let buffer = client.read_buffer.as_mut().filter(|_| keeps_alive);
+            let keep_alive_after = !client.after_response.closes();
+            let buffer = client.read_buffer.as_mut().filter(|_| keep_alive_after);
             match buffer.map_or(ReadOutcome::BufferFull, |buffer| {
                 buffer.read_from(&mut client.stream)
             }) {
                 ReadOutcome::Received => {}
                 ReadOutcome::WouldBlock => return,
-                ReadOutcome::Closed | ReadOutcome::Failed => return self.drop_downstream(key),
+                ReadOutcome::Closed | ReadOutcome::Failed => return self.close_downstream(key),
                 // It cannot be kept, so nothing behind this request is answered: the connection goes with it.
                 ReadOutcome::BufferFull => match client.stream.read(&mut discard_buffer) {
                     Ok(read @ 1..) => {
@@ -242,13 +242,13 @@
                     }
                     Err(error) if error.kind() == io::ErrorKind::WouldBlock => return,
                     Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
-                    _ => return self.drop_downstream(key),
+                    _ => return self.close_downstream(key),
                 },
             }
         }
         let now_ms = self.clock.now();
         self.timers
-            .set(now_ms, move |proxy: &mut Proxy| proxy.serve(key));
+            .set(now_ms, move |proxy: &mut Proxy| proxy.serve_client(key));
     }
 }
 
--- a/proxy/src/downstream/timeouts.rs
+++ b/proxy/src/downstream/timeouts.rs
@@ -10,24 +10,24 @@
 
 impl Proxy {
     /// From now on nothing but a whole request may keep the connection for longer than this.
-    pub(super) fn limit_wait(&mut self, key: DownstreamKey, wait_ms: f64) {
+    pub(super) fn set_read_timeout(&mut self, key: DownstreamKey, wait_ms: f64) {
         let at_ms = self.clock.now() + wait_ms;
-        self.set_downstream_timer(key, at_ms, Proxy::wait_timeout);
+        self.set_downstream_timer(key, at_ms, Proxy::read_timeout_expired);
     }
 
     /// A client has kept the proxy waiting for as long as it may; what it has sent by now is read first.
-    fn wait_timeout(&mut self, key: DownstreamKey) {
+    fn read_timeout_expired(&mut self, key: DownstreamKey) {
         if let Some(client) = self.downstream.table.get_mut(key) {
             client.timer = None;
         }
-        self.serve(key);
+        self.serve_client(key);
         let Some(client) = self.downstream.table.get(key) else {
             return;
         };
         if client.writer().is_some() || client.timer.is_some() {
             return;
         }
-        if client.is_receiving_body() && self.body_timeout(key) {
+        if client.is_receiving_body() && self.body_timeout_expired(key) {
             return;
         }
         let Some(client) = self.downstream.table.get(key) else {
@@ -41,13 +41,13 @@
             self.counters.invalid_requests += 1;
             self.reject(key, RequestError::Timeout);
         } else {
-            self.drop_downstream(key);
+            self.close_downstream(key);
         }
     }
 
     /// The same for a client whose body is coming: it goes on while it keeps pace, and where its request was
     /// admitted it is closed if not. Whether that settles it.
-    fn body_timeout(&mut self, key: DownstreamKey) -> bool {
+    fn body_timeout_expired(&mut self, key: DownstreamKey) -> bool {
         let now_ms = self.clock.now();
         let Some(client) = self.downstream.table.get_mut(key) else {
             return true;
@@ -61,25 +61,29 @@
                 client.last_progress_ms = now_ms;
             }
         }
-        let due_ms = client.body_due_ms();
-        if due_ms > now_ms + MIN_BODY_WAIT_MS {
-            self.set_downstream_timer(key, due_ms, Proxy::wait_timeout);
+        let deadline_ms = client.body_deadline_ms();
+        if deadline_ms > now_ms + MIN_BODY_WAIT_MS {
+            self.set_downstream_timer(key, deadline_ms, Proxy::read_timeout_expired);
             return true;
         }
         if admitted {
             self.counters.invalid_requests += 1;
-            self.drop_downstream(key);
+            self.close_downstream(key);
         }
         admitted
     }
 
     /// The time in which a client must take something of its response.
-    pub(super) fn limit_response_stall(&mut self, key: DownstreamKey, since_ms: f64) {
-        self.set_downstream_timer(key, since_ms + STALL_TIMEOUT_MS, Proxy::response_timeout);
+    pub(super) fn set_write_timeout(&mut self, key: DownstreamKey, since_ms: f64) {
+        self.set_downstream_timer(
+            key,
+            since_ms + STALL_TIMEOUT_MS,
+            Proxy::write_timeout_expired,
+        );
     }
 
     /// Whether a client takes its response at all.
-    fn response_timeout(&mut self, key: DownstreamKey) {
+    fn write_timeout_expired(&mut self, key: DownstreamKey) {
         let now_ms = self.clock.now();
         let has_drained = self.downstream.has_drained_response(key);
         let Some(client) = self.downstream.table.get_mut(key) else {
@@ -98,8 +102,8 @@
             // A client that does not read its response would hold a buffer for ever.
             self.counters.clients_stalled += 1;
             log::info!("a client took nothing of its response for {STALL_TIMEOUT_MS} ms");
-            return self.drop_downstream(key);
+            return self.close_downstream(key);
         }
-        self.limit_response_stall(key, last_progress_ms);
+        self.set_write_timeout(key, last_progress_ms);
     }
 }
--- a/proxy/src/downstream/write_response.rs
+++ b/proxy/src/downstream/write_response.rs
@@ -1,7 +1,7 @@
 //! Writing to clients: responses as far as their sockets take them, and what becomes of the connection after.
 
 use super::connection::{AfterResponse, ConnectionState, ResponseSource};
-use super::{RequestError, LINGER_MS, REQUEST_TIMEOUT_MS};
+use super::{RequestError, LINGER_TIMEOUT_MS, REQUEST_TIMEOUT_MS};
 use crate::buffers::Buffer;
 use crate::http::{self, Message};
 use crate::metrics::access::RequestOutcome;
@@ -12,11 +12,11 @@
 
 /// How long a connection stays on which no request follows the last response: longer than clients pause
 /// between two requests while they have work.
-const IDLE_TIMEOUT_MS: f64 = 2000.0;
+const CLIENT_IDLE_TIMEOUT_MS: f64 = 2000.0;
 
 impl Proxy {
     /// Writes what is left of a response; whether the connection may be read.
-    pub fn write_answer(&mut self, key: DownstreamKey) -> bool {
+    pub fn flush_response(&mut self, key: DownstreamKey) -> bool {
         let Some(client) = self.downstream.table.get_mut(key) else {
             return false;
         };
@@ -32,14 +32,14 @@
         }
         match drained {
             Ok(true) if writer.source.is_some() => {
-                self.request_next_piece(key);
+                self.request_next_response_piece(key);
                 false
             }
-            Ok(true) => self.response_sent(key),
+            Ok(true) => self.finish_response(key),
             Ok(false) => false,
             Err(error) => {
                 log::debug!("a client left in the middle of its response: {error}");
-                self.drop_downstream(key);
+                self.close_downstream(key);
                 false
             }
         }
@@ -47,20 +47,20 @@
 
     /// A client has taken all that there is of a response that is streamed, which makes room for the next piece.
     /// Nothing else but its close is of interest.
-    fn request_next_piece(&mut self, key: DownstreamKey) {
+    fn request_next_response_piece(&mut self, key: DownstreamKey) {
         let client = &self.downstream.table[key];
-        let has_left =
+        let client_disconnected =
             client.peer_closed || !(is_silent(&client.stream) || has_unread_data(&client.stream));
-        if has_left {
+        if client_disconnected {
             log::debug!("a client left in the middle of its response");
-            return self.drop_downstream(key);
+            return self.close_downstream(key);
         }
         let upstream = client.response_source().map(|source| source.upstream);
         self.writable_upstream.extend(upstream);
     }
 
     /// A response is out; whether the connection may be read.
-    fn response_sent(&mut self, key: DownstreamKey) -> bool {
+    fn finish_response(&mut self, key: DownstreamKey) -> bool {
         let client = &mut self.downstream.table[key];
         let buffer = client.end_response();
         if let (Some(receipt), Some(outcome)) = (client.receipt.take(), client.outcome.take()) {
@@ -72,28 +72,28 @@
         }
         client.idle_since_ms = self.clock.now();
         client.responses_sent = client.responses_sent.saturating_add(1);
-        let is_finished = client.after_response == AfterResponse::Close
+        let may_close_now = client.after_response == AfterResponse::Close
             && client.read_buffer.is_none()
             && is_silent(&client.stream);
-        if is_finished {
-            self.drop_downstream(key);
+        if may_close_now {
+            self.close_downstream(key);
             return false;
         }
         if client.after_response.closes() {
             client.linger();
             // It fails where the client has reset the connection, which shows as it is read.
             let _ = client.stream.shutdown(Shutdown::Write);
-            let at_ms = client.idle_since_ms + LINGER_MS;
-            self.set_downstream_timer(key, at_ms, Proxy::linger_timeout);
+            let at_ms = client.idle_since_ms + LINGER_TIMEOUT_MS;
+            self.set_downstream_timer(key, at_ms, Proxy::linger_timeout_expired);
             return true;
         }
         let next_request_begun = client.read_buffer.is_some();
         let wait_ms = if next_request_begun {
             REQUEST_TIMEOUT_MS
         } else {
-            IDLE_TIMEOUT_MS
+            CLIENT_IDLE_TIMEOUT_MS
         };
-        self.limit_wait(key, wait_ms);
+        self.set_read_timeout(key, wait_ms);
         self.close_excess_idle();
         true
     }
@@ -102,7 +102,7 @@
     /// last byte.
     pub fn reject_upload(&mut self, key: DownstreamKey, error: RequestError) {
         let client = self.downstream.table.get_mut(key);
-        let request_id = client.and_then(|client| client.stop_awaiting());
+        let request_id = client.and_then(|client| client.stop_awaiting_response());
         self.reject(key, error);
         if let Some(request_id) = request_id {
             self.client_left(request_id);
@@ -115,35 +115,35 @@
             client.after_response = AfterResponse::Linger {
                 body_outstanding: false,
             };
-            self.answer(key, error.status(), 0.0);
+            self.send_local_response(key, error.status(), 0.0);
         }
     }
 
     /// Answers a client with a response of the proxy's own, with a `Retry-After` where `retry_after_ms` is
     /// positive.
-    pub fn answer(&mut self, key: DownstreamKey, status: u16, retry_after_ms: f64) {
+    pub fn send_local_response(&mut self, key: DownstreamKey, status: u16, retry_after_ms: f64) {
         let outcome = if status == http::status::SERVICE_UNAVAILABLE {
             RequestOutcome::Rejected
         } else {
             RequestOutcome::Failed
         };
         self.downstream.set_outcome(key, outcome);
-        self.answer_by(key, |close, buffer| {
+        self.respond_with(key, |close, buffer| {
             buffer.append(http::empty_response(status, retry_after_ms, close).as_bytes())
         });
     }
 
     /// Answers a client with an endpoint's whole response.
-    pub fn hand_back(&mut self, key: DownstreamKey, bytes: &[u8], message: &Message) {
+    pub fn send_buffered_response(&mut self, key: DownstreamKey, bytes: &[u8], message: &Message) {
         self.downstream.set_outcome(key, RequestOutcome::Succeeded);
-        self.answer_by(key, |close, buffer| {
+        self.respond_with(key, |close, buffer| {
             http::write_response(bytes, message, close, buffer)
         });
     }
 
     /// A client's response will be streamed from an upstream connection; `ends_at_close` where only the end of
     /// the client's connection tells its end.
-    pub fn write_to_client(
+    pub fn set_response_source(
         &mut self,
         key: DownstreamKey,
         upstream: UpstreamKey,
@@ -159,7 +159,7 @@
 
     /// Writes a response as far as it goes, and gives the request's buffer back. `compose` is told whether the
     /// connection ends with the response, and returns whether the response fitted into the buffer.
-    pub fn answer_by(
+    pub fn respond_with(
         &mut self,
         key: DownstreamKey,
         compose: impl FnOnce(bool, &mut Buffer) -> bool,
@@ -168,33 +168,33 @@
         let Some(client) = self.downstream.table.get_mut(key) else {
             return;
         };
-        client.stop_awaiting();
+        client.stop_awaiting_response();
         if stopping {
             client.after_response.require_close();
         }
         self.timers.cancel(client.timer.take());
-        self.release_request(key);
+        self.remove_request_from_buffer(key);
         let Some(mut buffer) = self.take_response_buffer(key) else {
             // As many clients do not read, not even a response's buffer is left. This one is cut off.
             log::warn!("no buffer for a response");
             self.counters.capacity_exhausted += 1;
-            return self.drop_downstream(key);
+            return self.close_downstream(key);
         };
         let client = &mut self.downstream.table[key];
         if !compose(client.after_response.closes(), &mut buffer) {
             // An endpoint's head that does not fit. The client must not take it for a response.
             self.buffers.give_back(buffer);
-            return self.drop_downstream(key);
+            return self.close_downstream(key);
         }
         let now_ms = self.clock.now();
         client.begin_response(buffer, now_ms);
-        self.limit_response_stall(key, now_ms);
-        self.write_answer(key);
+        self.set_write_timeout(key, now_ms);
+        self.flush_response(key);
         self.downstream.ready.push(key);
     }
 
     /// Removes a request from its buffer, and keeps what has come behind it for the next one.
-    fn release_request(&mut self, key: DownstreamKey) {
+    fn remove_request_from_buffer(&mut self, key: DownstreamKey) {
         let client = &mut self.downstream.table[key];
         let Some(mut buffer) = client.read_buffer.take() else {
             return;
--- a/proxy/src/event_loop.rs
+++ b/proxy/src/event_loop.rs
@@ -72,8 +72,8 @@
                 self.settle();
             }
         }
-        for client in self.downstream.take_closed() {
-            self.serve(client);
+        for client in self.downstream.take_peer_closed() {
+            self.serve_client(client);
             self.settle();
         }
         let mut signalled = false;
@@ -81,7 +81,7 @@
             match EventSource::of(event.token()) {
                 EventSource::Listener => self.accept(),
                 EventSource::Signals => signalled = true,
-                EventSource::Client(client) => self.serve(client),
+                EventSource::Client(client) => self.serve_client(client),
                 EventSource::Upstream(connection) => self.upstream_event(connection),
                 _ => continue,
             }
@@ -98,7 +98,7 @@
         for event in events {
             if let EventSource::Client(client) = EventSource::of(event.token()) {
                 if is_closed(event) {
-                    self.downstream.mark_closed(client);
+                    self.downstream.mark_peer_closed(client);
                 }
             }
         }
--- a/proxy/src/http/body.rs
+++ b/proxy/src/http/body.rs
@@ -5,7 +5,7 @@
 use httparse::Status;
 
 /// A chunk's size line may be so long, in bytes; one without end would fill the buffer.
-const MAX_CHUNK_SIZE_LINE: usize = 256;
+const MAX_CHUNK_SIZE_LINE_BYTES: usize = 256;
 
 /// What of a body is still to come.
 #[derive(Clone, Copy)]
@@ -39,7 +39,7 @@
 
 impl BodyFraming {
     /// The last lines of a head.
-    pub(super) fn last_head_lines(self) -> String {
+    pub(super) fn framing_header_lines(self) -> String {
         match self {
             BodyFraming::Length(length) => format!("Content-Length: {length}\r\n\r\n"),
             BodyFraming::Chunked => "Transfer-Encoding: chunked\r\n\r\n".into(),
@@ -72,7 +72,7 @@
     pub accepts_chunked: bool,
     max_body: usize,
     /// Bytes of its body that have left the buffer.
-    released: usize,
+    consumed_bytes: usize,
     state: BodyState,
 }
 
@@ -90,7 +90,7 @@
             keep_alive,
             accepts_chunked,
             max_body,
-            released: 0,
+            consumed_bytes: 0,
             state,
         }
     }
@@ -99,19 +99,19 @@
     ///
     /// # Errors
     /// The body is malformed or too long.
-    pub fn advance(&mut self, buffer: &mut Buffer) -> Result<bool, ParseError> {
+    pub fn decode_body(&mut self, buffer: &mut Buffer) -> Result<bool, ParseError> {
         let mut next = self.body_end;
-        while self.decode_step(buffer.filled_mut(), &mut next)? {}
+        while self.decode_next(buffer.filled_mut(), &mut next)? {}
         buffer.remove(self.body_end..next);
         Ok(self.is_complete())
     }
 
     /// Decodes one part of what lies from `next` on; false where it needs more bytes or is complete.
-    fn decode_step(&mut self, bytes: &mut [u8], next: &mut usize) -> Result<bool, ParseError> {
+    fn decode_next(&mut self, bytes: &mut [u8], next: &mut usize) -> Result<bool, ParseError> {
         match self.state {
             BodyState::Complete => Ok(false),
             BodyState::Length { remaining } => {
-                let remaining = self.take_data(bytes, next, remaining);
+                let remaining = self.decode_data(bytes, next, remaining);
                 self.state = if remaining == 0 {
                     BodyState::Complete
                 } else {
@@ -120,7 +120,7 @@
                 Ok(remaining == 0)
             }
             BodyState::ChunkData { remaining } => {
-                let remaining = self.take_data(bytes, next, remaining);
+                let remaining = self.decode_data(bytes, next, remaining);
                 self.state = if remaining == 0 {
                     BodyState::ChunkEnd
                 } else {
@@ -128,9 +128,9 @@
                 };
                 Ok(remaining == 0)
             }
-            BodyState::ChunkEnd => self.take_chunk_end(&bytes[*next..], next),
-            BodyState::ChunkSize => self.take_chunk_size(&bytes[*next..], next),
-            BodyState::Trailers => self.take_trailer(&bytes[*next..], next),
+            BodyState::ChunkEnd => self.decode_chunk_end(&bytes[*next..], next),
+            BodyState::ChunkSize => self.decode_chunk_size(&bytes[*next..], next),
+            BodyState::Trailers => self.decode_trailer(&bytes[*next..], next),
             BodyState::UntilClose => {
                 let received = bytes.len() - *next;
                 if self.body_received() + received > self.max_body {
@@ -144,7 +144,7 @@
     }
 
     /// Moves data up to the end of the decoded body; how much of `wanted` is still to come.
-    fn take_data(&mut self, bytes: &mut [u8], next: &mut usize, wanted: usize) -> usize {
+    fn decode_data(&mut self, bytes: &mut [u8], next: &mut usize, wanted: usize) -> usize {
         let taken = wanted.min(bytes.len() - *next);
         if taken > 0 && *next != self.body_end {
             bytes.copy_within(*next..*next + taken, self.body_end);
@@ -154,7 +154,7 @@
         wanted - taken
     }
 
-    fn take_chunk_end(&mut self, rest: &[u8], next: &mut usize) -> Result<bool, ParseError> {
+    fn decode_chunk_end(&mut self, rest: &[u8], next: &mut usize) -> Result<bool, ParseError> {
         if rest.len() < 2 {
             return Ok(false);
         }
@@ -166,7 +166,7 @@
         Ok(true)
     }
 
-    fn take_chunk_size(&mut self, rest: &[u8], next: &mut usize) -> Result<bool, ParseError> {
+    fn decode_chunk_size(&mut self, rest: &[u8], next: &mut usize) -> Result<bool, ParseError> {
         match httparse::parse_chunk_size(rest) {
             Ok(Status::Complete((line_length, size))) => {
                 *next += line_length;
@@ -183,12 +183,12 @@
                 };
                 Ok(true)
             }
-            Ok(Status::Partial) if rest.len() <= MAX_CHUNK_SIZE_LINE => Ok(false),
+            Ok(Status::Partial) if rest.len() <= MAX_CHUNK_SIZE_LINE_BYTES => Ok(false),
             Ok(Status::Partial) | Err(_) => Err(ParseError::MalformedChunk),
         }
     }
 
-    fn take_trailer(&mut self, rest: &[u8], next: &mut usize) -> Result<bool, ParseError> {
+    fn decode_trailer(&mut self, rest: &[u8], next: &mut usize) -> Result<bool, ParseError> {
         match rest.windows(2).position(|pair| pair == b"\r\n") {
             Some(line_length) => {
                 *next += line_length + 2;
@@ -213,7 +213,7 @@
 
     /// How many bytes of its body have been received, including those that have left the buffer.
     pub fn body_received(&self) -> usize {
-        self.released + self.body_end - self.body_start
+        self.consumed_bytes + self.body_end - self.body_start
     }
 
     /// Whether all of its body has been received.
@@ -227,24 +227,24 @@
     }
 
     /// Nothing more comes of its body: the connection has ended, or there is none.
-    pub fn complete(&mut self) {
+    pub fn mark_complete(&mut self) {
         self.state = BodyState::Complete;
     }
 
     /// Removes its head, and what is here of its body, from the buffer.
-    pub fn release(&mut self, buffer: &mut Buffer) {
-        self.released += self.body_end - self.body_start;
+    pub fn consume(&mut self, buffer: &mut Buffer) {
+        self.consumed_bytes += self.body_end - self.body_start;
         buffer.remove(0..self.body_end);
         self.body_start = 0;
         self.body_end = 0;
     }
 
     /// Moves what is here of its body to another buffer, which is empty and of the same size.
-    pub fn forward_body(&mut self, from: &mut Buffer, to: &mut Buffer, chunked: bool) {
+    pub fn move_body(&mut self, from: &mut Buffer, to: &mut Buffer, chunked: bool) {
         let body = &from.filled()[self.body_start..self.body_end];
         let fitted = write_body_piece(body, chunked, to)
             && (!chunked || !self.is_complete() || to.append(b"0\r\n\r\n"));
         debug_assert!(fitted, "no buffer is filled to its end");
-        self.release(from);
+        self.consume(from);
     }
 }
--- a/proxy/src/http/forward.rs
+++ b/proxy/src/http/forward.rs
@@ -6,7 +6,7 @@
 use httparse::Header;
 
 /// Headers that concern one connection only (RFC 9110, section 7.6.1), or that the proxy writes itself.
-const NOT_FORWARDED: [&str; 11] = [
+const NOT_FORWARDED_HEADERS: [&str; 11] = [
     "connection",
     "keep-alive",
     "proxy-connection",
@@ -21,10 +21,10 @@
 ];
 
 fn is_forwarded(name: &str, excluded: &str) -> bool {
-    let not_forwarded = NOT_FORWARDED
+    let never_forwarded = NOT_FORWARDED_HEADERS
         .iter()
         .any(|other| name.eq_ignore_ascii_case(other));
-    !not_forwarded && !name.eq_ignore_ascii_case(excluded)
+    !never_forwarded && !name.eq_ignore_ascii_case(excluded)
 }
 
 /// Writes the headers that are forwarded, without `excluded`; whether they fitted.
@@ -60,7 +60,7 @@
         buffer.append(format!("{method} {} HTTP/1.1\r\n", origin_form(target)).as_bytes())
             && write_forwarded_headers(headers, "x-timeout", buffer)
             && buffer.append(format!("X-Timeout: {timeout_s:.3}\r\n").as_bytes())
-            && buffer.append(framing.last_head_lines().as_bytes())
+            && buffer.append(framing.framing_header_lines().as_bytes())
     });
     let head_fitted = matches!(head, Ok(Some((_, true))));
     let body = &bytes[message.body_start..message.body_end];
@@ -93,7 +93,7 @@
         buffer.append(b"HTTP/1.1 200 OK\r\n")
             && write_forwarded_headers(headers, "x-server-load", buffer)
             && buffer.append(connection.as_bytes())
-            && buffer.append(framing.last_head_lines().as_bytes())
+            && buffer.append(framing.framing_header_lines().as_bytes())
     });
     let head_fitted = matches!(head, Ok(Some((_, true))));
     head_fitted
--- a/proxy/src/http/head.rs
+++ b/proxy/src/http/head.rs
@@ -30,7 +30,7 @@
 /// Signs and lengths that differ are errors: with either, the next request on the connection would be read
 /// from a wrong place.
 fn content_length(headers: &[Header]) -> Result<Option<usize>, ParseError> {
-    let mut found = None;
+    let mut parsed_length = None;
     for header in headers
         .iter()
         .filter(|header| header.name.eq_ignore_ascii_case("content-length"))
@@ -44,12 +44,12 @@
             .ok()
             .and_then(|digits| digits.parse().ok())
             .ok_or(ParseError::BodyTooLong)?;
-        if found.is_some_and(|other| other != length) {
+        if parsed_length.is_some_and(|other| other != length) {
             return Err(ParseError::ConflictingContentLength);
         }
-        found = Some(length);
+        parsed_length = Some(length);
     }
-    Ok(found)
+    Ok(parsed_length)
 }
 
 /// How the body is framed by its headers; `default` where they do not say.
@@ -121,13 +121,13 @@
     }
 }
 
-/// Parses a request's head and hands method, target and headers to `read`; none until the head is complete.
+/// Parses a request's head and hands method, target and headers to `inspect`; none until the head is complete.
 ///
 /// # Errors
 /// The head is malformed or too long, or its framing is ambiguous.
 pub fn parse_request<T>(
     bytes: &[u8],
-    read: impl FnOnce(&str, &str, &[Header]) -> T,
+    inspect: impl FnOnce(&str, &str, &[Header]) -> T,
 ) -> Result<Option<(Message, T)>, ParseError> {
     let mut headers = [EMPTY_HEADER; MAX_HEADERS];
     let mut request = httparse::Request::new(&mut headers);
@@ -147,10 +147,10 @@
         MAX_BODY_BYTES,
         BodyState::Length { remaining: 0 },
     )?;
-    Ok(Some((message, read(method, target, request.headers))))
+    Ok(Some((message, inspect(method, target, request.headers))))
 }
 
-/// Parses a response's head and hands status code and headers to `read`; none until the head is complete. Its
+/// Parses a response's head and hands status code and headers to `inspect`; none until the head is complete. Its
 /// body may be as long as `max_body`.
 ///
 /// # Errors
@@ -158,7 +158,7 @@
 pub fn parse_response<T>(
     bytes: &[u8],
     max_body: usize,
-    read: impl FnOnce(u16, &[Header]) -> T,
+    inspect: impl FnOnce(u16, &[Header]) -> T,
 ) -> Result<Option<(Message, T)>, ParseError> {
     let mut headers = [EMPTY_HEADER; MAX_HEADERS];
     let mut response = httparse::Response::new(&mut headers);
@@ -179,10 +179,10 @@
     let informational = status < status::OK;
     if informational || status == status::NO_CONTENT || status == status::NOT_MODIFIED {
         // These have no body, whatever their headers say.
-        message.complete();
+        message.mark_complete();
         message.keep_alive = !list_contains(response.headers, "connection", "close");
     }
-    Ok(Some((message, read(status, response.headers))))
+    Ok(Some((message, inspect(status, response.headers))))
 }
 
 /// A request target in origin-form (RFC 9112, section 3.2.1): without the scheme and host that absolute-form
--- a/proxy/src/lifecycle/shutdown.rs
+++ b/proxy/src/lifecycle/shutdown.rs
@@ -46,7 +46,7 @@
             // to close; for the others it waits, and leaves half the longest deadline to a late one.
             self.idle_until_ms = self.idle_until_ms.max(proxy.answer_by - 0.5 * longest);
             self.listener_closed = true;
-            proxy.shut();
+            proxy.close_listener();
         }
         self.listener_until_ms = (self.idle_until_ms + ACCEPTING_REPEATS_MS).min(proxy.answer_by);
         // Timers that do nothing wake the event loop.
@@ -66,7 +66,7 @@
         }
         if proxy.now() >= self.listener_until_ms && !self.listener_closed {
             self.listener_closed = true;
-            proxy.shut();
+            proxy.close_listener();
         }
         let is_over = proxy.now() >= proxy.answer_by;
         proxy.close_idle(is_over);
--- a/proxy/src/request_lifecycle.rs
+++ b/proxy/src/request_lifecycle.rs
@@ -74,7 +74,7 @@
 
     fn answer_without_response(&mut self, request: RequestId, status: u16, retry_after_ms: f64) {
         if let Some(client) = self.requests.answered(request) {
-            self.answer(client, status, retry_after_ms);
+            self.send_local_response(client, status, retry_after_ms);
         }
     }
 
@@ -151,7 +151,7 @@
         if let Some(BufferedResponse { buffer, message }) = answer {
             if let Some(client) = client {
                 self.counters.requests_succeeded += 1;
-                self.hand_back(client, buffer.filled(), &message);
+                self.send_buffered_response(client, buffer.filled(), &message);
             }
             self.buffers.give_back(buffer);
         }
--- a/proxy/src/streaming/mod.rs
+++ b/proxy/src/streaming/mod.rs
@@ -25,11 +25,11 @@
     /// The client's socket.
     pub stream: &'a mut TcpStream,
     /// Bytes received that have not gone on.
-    pub inbox: &'a mut Buffer,
-    /// Where head and body end in the inbox.
+    pub read_buffer: &'a mut Buffer,
+    /// Where head and body end in the read buffer.
     pub message: &'a mut Message,
     /// Whether the first piece has been released, so that the request can no longer be retried.
-    pub released: &'a mut bool,
+    pub first_piece_sent: &'a mut bool,
     /// Bytes of the body received so far.
     pub received_bytes: &'a mut usize,
     /// When the last of them came.
--- a/proxy/src/streaming/request.rs
+++ b/proxy/src/streaming/request.rs
@@ -10,7 +10,7 @@
 use crankmux::types::{AttemptOutcome, LoadReport};
 
 /// What moving the next piece of a body has come to.
-enum PieceMoved {
+enum RequestStreamStep {
     /// A piece has moved or has been received, or the endpoint has taken the first one.
     Progress,
     /// The last piece has moved.
@@ -20,38 +20,40 @@
     /// The client has left, and its connection is gone.
     ClientGone,
     /// The client has ended too early.
-    ClientEnded,
+    IncompleteBody,
     /// The body cannot be read.
     Malformed(RequestError),
 }
 
 /// Moves the next piece of a body from its client to the buffer of the connection to the endpoint.
-fn move_next_piece(
+fn move_request_piece(
     upload: &mut Upload,
-    outbox: &mut Buffer,
+    write_buffer: &mut Buffer,
     chunked: bool,
     now: f64,
-) -> PieceMoved {
-    if let Err(error) = upload.message.advance(upload.inbox) {
-        return PieceMoved::Malformed(error.into());
+) -> RequestStreamStep {
+    if let Err(error) = upload.message.decode_body(upload.read_buffer) {
+        return RequestStreamStep::Malformed(error.into());
     }
-    upload.message.forward_body(upload.inbox, outbox, chunked);
+    upload
+        .message
+        .move_body(upload.read_buffer, write_buffer, chunked);
     if upload.message.is_complete() {
-        return PieceMoved::LastPiece;
+        return RequestStreamStep::LastPiece;
     }
-    if !outbox.filled().is_empty() {
-        return PieceMoved::Progress;
+    if !write_buffer.filled().is_empty() {
+        return RequestStreamStep::Progress;
     }
-    let held_before = upload.inbox.filled().len();
-    match upload.inbox.read_from(upload.stream) {
+    let length_before_read = upload.read_buffer.filled().len();
+    match upload.read_buffer.read_from(upload.stream) {
         ReadOutcome::Received => {
-            *upload.received_bytes += upload.inbox.filled().len() - held_before;
+            *upload.received_bytes += upload.read_buffer.filled().len() - length_before_read;
             *upload.last_received_at = now;
-            PieceMoved::Progress
+            RequestStreamStep::Progress
         }
-        ReadOutcome::WouldBlock => PieceMoved::Pending,
-        ReadOutcome::Closed | ReadOutcome::Failed => PieceMoved::ClientEnded,
-        ReadOutcome::BufferFull => PieceMoved::Malformed(RequestError::UndecodableBody),
+        ReadOutcome::WouldBlock => RequestStreamStep::Pending,
+        ReadOutcome::Closed | ReadOutcome::Failed => RequestStreamStep::IncompleteBody,
+        ReadOutcome::BufferFull => RequestStreamStep::Malformed(RequestError::UndecodableBody),
     }
 }
 
@@ -71,18 +73,18 @@
                 return true;
             };
             match self.stream_request_piece(key, client, now) {
-                PieceMoved::Progress => {}
-                PieceMoved::LastPiece | PieceMoved::Pending => return true,
-                PieceMoved::ClientGone => {
+                RequestStreamStep::Progress => {}
+                RequestStreamStep::LastPiece | RequestStreamStep::Pending => return true,
+                RequestStreamStep::ClientGone => {
                     // The endpoint never had the request whole.
                     self.fail_attempt(key, AttemptOutcome::Cancelled, LoadReport::default());
                     return false;
                 }
-                PieceMoved::ClientEnded => {
-                    self.drop_downstream(client);
+                RequestStreamStep::IncompleteBody => {
+                    self.close_downstream(client);
                     return false;
                 }
-                PieceMoved::Malformed(error) => {
+                RequestStreamStep::Malformed(error) => {
                     // The endpoint has half of the body and so never ran the request.
                     self.counters.invalid_requests += 1;
                     self.reject_upload(client, error);
@@ -98,32 +100,32 @@
         key: UpstreamKey,
         client: DownstreamKey,
         now: f64,
-    ) -> PieceMoved {
+    ) -> RequestStreamStep {
         let connection = &mut self.upstream.connections[key];
         let Some((stream, attempt)) = connection.stream_and_attempt() else {
-            return PieceMoved::Pending;
+            return RequestStreamStep::Pending;
         };
         let RequestState::Streamed(StreamedRequest { chunked, .. }) = attempt.request_state else {
-            return PieceMoved::Pending;
+            return RequestStreamStep::Pending;
         };
         let request = attempt.request;
-        let Some(outbox) = attempt.write_piece(stream, now) else {
+        let Some(write_buffer) = attempt.write_piece(stream, now) else {
             self.endpoint_takes_no_more(key, client);
-            return PieceMoved::Pending;
+            return RequestStreamStep::Pending;
         };
         let Some(mut upload) = self.downstream.upload(client) else {
-            return PieceMoved::ClientGone;
+            return RequestStreamStep::ClientGone;
         };
-        if !std::mem::replace(upload.released, true) {
+        if !std::mem::replace(upload.first_piece_sent, true) {
             // The first piece is with the endpoint, and makes room for the next.
-            upload.message.release(upload.inbox);
+            upload.message.consume(upload.read_buffer);
             if let Some(request) = request {
                 self.streaming_progress(request, key, false);
             }
-            return PieceMoved::Progress;
+            return RequestStreamStep::Progress;
         }
-        let moved = move_next_piece(&mut upload, outbox, chunked, now);
-        if matches!(moved, PieceMoved::LastPiece) {
+        let moved = move_request_piece(&mut upload, write_buffer, chunked, now);
+        if matches!(moved, RequestStreamStep::LastPiece) {
             attempt.request_source_finished();
         }
         moved
--- a/proxy/src/streaming/response.rs
+++ b/proxy/src/streaming/response.rs
@@ -10,7 +10,7 @@
 use crankmux::types::{AttemptOutcome, LoadReport};
 
 /// What streaming one piece has come to.
-enum PieceStreamed {
+enum ResponseStreamStep {
     /// A piece has moved or has been received.
     Progress,
     /// The last piece is with the client's connection.
@@ -18,7 +18,7 @@
     /// Client or endpoint are not ready for the next piece.
     Pending,
     /// The response breaks off.
-    Broken,
+    Failed,
 }
 
 impl Proxy {
@@ -48,17 +48,17 @@
         let timer = self.upstream.connections[key].timer.take();
         self.timers.cancel(timer);
         self.streaming_progress(request, key, false);
-        self.write_to_client(client, key, framing == BodyFraming::UntilClose);
+        self.set_response_source(client, key, framing == BodyFraming::UntilClose);
         // Until its last byte is with the client.
         self.downstream.set_outcome(client, RequestOutcome::Failed);
-        self.answer_by(client, |close, outbox| {
-            http::write_response_start(&inbox.filled()[..end], head, framing, close, outbox)
+        self.respond_with(client, |close, write_buffer| {
+            http::write_response_start(&inbox.filled()[..end], head, framing, close, write_buffer)
         });
         let Some(attempt) = self.upstream.attempt_mut(key) else {
             return self.buffers.give_back(inbox);
         };
         if let Some(response) = attempt.response_state.response_mut() {
-            response.message.release(&mut inbox);
+            response.message.consume(&mut inbox);
         }
         attempt.inbox = Some(inbox);
         self.upstream_timeout(key);
@@ -73,11 +73,11 @@
     /// Streams a response body on, as far as endpoint and client go.
     pub(crate) fn stream_response_body(&mut self, key: UpstreamKey) {
         loop {
-            match self.stream_piece(key) {
-                PieceStreamed::Progress => {}
-                PieceStreamed::Pending => return,
-                PieceStreamed::LastPiece => return self.response_streamed(key),
-                PieceStreamed::Broken => {
+            match self.stream_response_piece(key) {
+                ResponseStreamStep::Progress => {}
+                ResponseStreamStep::Pending => return,
+                ResponseStreamStep::LastPiece => return self.finish_response_stream(key),
+                ResponseStreamStep::Failed => {
                     // The client is cut off with the connection, so that it can tell.
                     let outcome = AttemptOutcome::ConnectionLost;
                     return self.fail_attempt(key, outcome, LoadReport::default());
@@ -87,10 +87,10 @@
     }
 
     /// Moves the piece that is here to the client, or reads the next one.
-    fn stream_piece(&mut self, key: UpstreamKey) -> PieceStreamed {
+    fn stream_response_piece(&mut self, key: UpstreamKey) -> ResponseStreamStep {
         let now = self.clock.now();
         let Some(attempt) = self.upstream.attempt_mut(key) else {
-            return PieceStreamed::Pending;
+            return ResponseStreamStep::Pending;
         };
         let ResponseState::Streaming {
             response,
@@ -99,39 +99,39 @@
             ..
         } = &mut attempt.response_state
         else {
-            return PieceStreamed::Pending;
+            return ResponseStreamStep::Pending;
         };
         let client = *client;
         let Some(inbox) = &mut attempt.inbox else {
-            return PieceStreamed::Pending;
+            return ResponseStreamStep::Pending;
         };
-        let Some(outbox) = self.downstream.drained_response_buffer(client) else {
-            return PieceStreamed::Pending;
+        let Some(write_buffer) = self.downstream.drained_response_buffer(client) else {
+            return ResponseStreamStep::Pending;
         };
         let message = &mut response.message;
         let has_piece = message.body_end > message.body_start;
         if !has_piece && !message.is_complete() {
-            return self.receive_piece(key, now);
+            return self.read_response_piece(key, now);
         }
-        message.forward_body(inbox, outbox, *chunked);
+        message.move_body(inbox, write_buffer, *chunked);
         let is_last = message.is_complete();
         attempt.last_progress_at = now;
-        self.downstream.restart_response_timeout(client, now);
+        self.downstream.restart_write_timeout(client, now);
         if is_last {
-            return PieceStreamed::LastPiece;
+            return ResponseStreamStep::LastPiece;
         }
-        self.write_answer(client);
-        PieceStreamed::Progress
+        self.flush_response(client);
+        ResponseStreamStep::Progress
     }
 
-    fn receive_piece(&mut self, key: UpstreamKey, now: f64) -> PieceStreamed {
+    fn read_response_piece(&mut self, key: UpstreamKey, now: f64) -> ResponseStreamStep {
         let connection = &mut self.upstream.connections[key];
         let endpoint = connection.endpoint;
         let inbox = connection
             .attempt_mut()
             .and_then(|attempt| attempt.inbox.take());
         let Some(mut inbox) = inbox else {
-            return PieceStreamed::Pending;
+            return ResponseStreamStep::Pending;
         };
         let filled = connection.read_into(&mut inbox);
         if filled == ReadOutcome::Received {
@@ -139,35 +139,35 @@
         }
         let Some(attempt) = self.upstream.connections[key].attempt_mut() else {
             self.buffers.give_back(inbox);
-            return PieceStreamed::Pending;
+            return ResponseStreamStep::Pending;
         };
         if filled == ReadOutcome::Received {
             attempt.last_progress_at = now;
         }
         let inbox = attempt.inbox.insert(inbox);
         let Some(response) = attempt.response_state.response_mut() else {
-            return PieceStreamed::Pending;
+            return ResponseStreamStep::Pending;
         };
         let message = &mut response.message;
-        let read = message.advance(inbox);
+        let read = message.decode_body(inbox);
         match (&read, filled) {
-            (Ok(_), ReadOutcome::Received) => PieceStreamed::Progress,
-            (Ok(_), ReadOutcome::WouldBlock) => PieceStreamed::Pending,
+            (Ok(_), ReadOutcome::Received) => ResponseStreamStep::Progress,
+            (Ok(_), ReadOutcome::WouldBlock) => ResponseStreamStep::Pending,
             (Ok(_), ReadOutcome::Closed) if message.ends_at_close() => {
-                message.complete();
-                PieceStreamed::Progress
+                message.mark_complete();
+                ResponseStreamStep::Progress
             }
             _ => {
                 log::debug!(
                     "endpoint {endpoint}: a long response breaks off: {read:?}, {filled:?}"
                 );
-                PieceStreamed::Broken
+                ResponseStreamStep::Failed
             }
         }
     }
 
     /// All of the response is with the client's connection.
-    fn response_streamed(&mut self, key: UpstreamKey) {
+    fn finish_response_stream(&mut self, key: UpstreamKey) {
         let now = self.clock.now();
         let connection = &mut self.upstream.connections[key];
         let Some(attempt) = connection.finish_attempt(now) else {
@@ -180,7 +180,7 @@
         else {
             return;
         };
-        let has_bytes_behind = attempt
+        let has_extra_bytes = attempt
             .inbox
             .as_ref()
             .is_some_and(|inbox| !inbox.filled().is_empty());
@@ -191,9 +191,9 @@
         self.downstream
             .set_outcome(client, RequestOutcome::Succeeded);
         self.downstream.end_response_source(client);
-        self.keep_or_close(key, response.message.keep_alive && !has_bytes_behind);
-        self.write_answer(client);
-        self.downstream.serve_later(client);
+        self.keep_or_close(key, response.message.keep_alive && !has_extra_bytes);
+        self.flush_response(client);
+        self.downstream.mark_ready(client);
         let response = AttemptResponse {
             outcome: AttemptOutcome::Succeeded,
             load: response.load,
--- a/proxy/src/upstream/attempt.rs
+++ b/proxy/src/upstream/attempt.rs
@@ -215,12 +215,12 @@
     /// Goes on through the bytes received; returns whether the response is whole.
     pub(super) fn read_response(&mut self, inbox: &mut Buffer) -> Result<bool, ParseError> {
         if let Some(response) = self.response_state.response_mut() {
-            return response.message.advance(inbox);
+            return response.message.decode_body(inbox);
         }
         let Some(mut response) = read_response(inbox)? else {
             return Ok(false);
         };
-        let is_complete = response.message.advance(inbox);
+        let is_complete = response.message.decode_body(inbox);
         self.response_state = ResponseState::Buffering {
             response,
             held_since: None,
--- a/proxy/src/upstream/connection_pool.rs
+++ b/proxy/src/upstream/connection_pool.rs
@@ -277,7 +277,7 @@
             .and_then(|attempt| attempt.response_target())
         {
             // Its client is cut off and can tell: a response that stops short could be taken for a whole one.
-            self.drop_downstream(client);
+            self.close_downstream(client);
         }
         if let Err(error) = self.registry.deregister(&mut connection.stream) {
             log::debug!("a connection to an endpoint was not watched: {error}");
