--- a/proxy/src/http/body.rs
+++ b/proxy/src/http/body.rs
@@ -1,44 +1,44 @@
-//! Body framing (RFC 9112, section 6): where a body ends, and how a forwarded one says so.
+//! Message body framing (RFC 9112, section 6): decoding received bodies and framing forwarded ones.
 
 use super::ParseError;
 use crate::buffers::{Buffer, MAX_HEAD_BYTES};
 use httparse::Status;
 
-/// A chunk's size line may be so long, in bytes; one without end would fill the buffer.
+/// Limit on a chunk's size line, including extensions.
 const MAX_CHUNK_SIZE_LINE_BYTES: usize = 256;
 
-/// What of a body is still to come.
+/// What the decoder expects next.
 #[derive(Clone, Copy)]
 pub(super) enum BodyState {
-    /// So many bytes, by `Content-Length`.
+    /// The rest of a body delimited by `Content-Length`.
     Length { remaining: usize },
-    /// A chunk's size line.
+    /// The size line of a chunk.
     ChunkSize,
-    /// So many bytes of a chunk.
+    /// The rest of a chunk's data.
     ChunkData { remaining: usize },
-    /// The line end behind a chunk's data.
+    /// The line end after a chunk's data.
     ChunkEnd,
-    /// The trailer section behind the last chunk.
+    /// The trailer section after the last chunk.
     Trailers,
-    /// Whatever comes until the connection is closed.
+    /// The rest of a body delimited by the close of the connection.
     UntilClose,
-    /// Nothing.
+    /// Nothing: the body is complete.
     Complete,
 }
 
-/// How a forwarded body says where it ends.
+/// How the end of a forwarded body is indicated.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub enum BodyFraming {
     /// `Content-Length`.
     Length(usize),
     /// `Transfer-Encoding: chunked`.
     Chunked,
-    /// The end of the connection; a request framed like this has no body.
+    /// The close of the connection. A request framed like this has no body.
     UntilClose,
 }
 
 impl BodyFraming {
-    /// The last lines of a head.
+    /// The framing header, if there is one, and the empty line that ends the head.
     pub(super) fn framing_header_lines(self) -> String {
         match self {
             BodyFraming::Length(length) => format!("Content-Length: {length}\r\n\r\n"),
@@ -48,9 +48,9 @@
     }
 }
 
-/// Adds a piece of a body, as a chunk where the body is chunked; whether it fitted.
+/// Appends a piece of a body, as a chunk if the body is chunked. Returns whether it fitted.
 pub(super) fn write_body_piece(bytes: &[u8], chunked: bool, buffer: &mut Buffer) -> bool {
-    // An empty chunk would end the body.
+    // A chunk of size zero would end the body.
     if !chunked || bytes.is_empty() {
         return buffer.append(bytes);
     }
@@ -59,19 +59,18 @@
         && buffer.append(b"\r\n")
 }
 
-/// A message in a buffer: its body, decoded as far as it has been received, lies from `body_start` to
-/// `body_end`.
+/// A message in a buffer. The part of its body that has been received and decoded is at `body_start..body_end`.
 pub struct Message {
-    /// Where its head ends and its body begins.
+    /// End of the head and start of the body.
     pub body_start: usize,
-    /// Where the decoded part of its body ends.
+    /// End of the decoded part of the body.
     pub body_end: usize,
-    /// The connection may carry another message.
+    /// Whether the connection may be reused after this message.
     pub keep_alive: bool,
-    /// Its sender knows chunked bodies, as HTTP/1.1 does.
+    /// Whether the sender accepts chunked bodies, as HTTP/1.1 requires.
     pub accepts_chunked: bool,
     max_body: usize,
-    /// Bytes of its body that have left the buffer.
+    /// Body bytes that have been removed from the buffer.
     consumed_bytes: usize,
     state: BodyState,
 }
@@ -95,9 +94,10 @@
         }
     }
 
-    /// Decodes what has been received since the last call; whether the body is complete.
+    /// Decodes in place what has been received since the last call. Returns whether the body is complete.
     ///
     /// # Errors
+    ///
     /// The body is malformed or too long.
     pub fn decode_body(&mut self, buffer: &mut Buffer) -> Result<bool, ParseError> {
         let mut next = self.body_end;
@@ -106,7 +106,7 @@
         Ok(self.is_complete())
     }
 
-    /// Decodes one part of what lies from `next` on; false where it needs more bytes or is complete.
+    /// Decodes one element at `next`. Returns false if more bytes are needed or the body is complete.
     fn decode_next(&mut self, bytes: &mut [u8], next: &mut usize) -> Result<bool, ParseError> {
         match self.state {
             BodyState::Complete => Ok(false),
@@ -143,7 +143,7 @@
         }
     }
 
-    /// Moves data up to the end of the decoded body; how much of `wanted` is still to come.
+    /// Moves up to `wanted` data bytes to the end of the decoded body. Returns how many are still missing.
     fn decode_data(&mut self, bytes: &mut [u8], next: &mut usize, wanted: usize) -> usize {
         let taken = wanted.min(bytes.len() - *next);
         if taken > 0 && *next != self.body_end {
@@ -170,7 +170,6 @@
         match httparse::parse_chunk_size(rest) {
             Ok(Status::Complete((line_length, size))) => {
                 *next += line_length;
-                // A chunked body that never ends would fill the buffer.
                 if size > self.max_body.saturating_sub(self.body_received()) as u64 {
                     return Err(ParseError::BodyTooLong);
                 }
@@ -202,7 +201,7 @@
         }
     }
 
-    /// The length of its body, where its head says so or it is complete.
+    /// The length of the body, if the head declares it or the body is complete.
     pub fn body_length(&self) -> Option<usize> {
         match self.state {
             BodyState::Length { remaining } => Some(self.body_received() + remaining),
@@ -211,27 +210,27 @@
         }
     }
 
-    /// How many bytes of its body have been received, including those that have left the buffer.
+    /// How many body bytes have been received, including those removed from the buffer.
     pub fn body_received(&self) -> usize {
         self.consumed_bytes + self.body_end - self.body_start
     }
 
-    /// Whether all of its body has been received.
+    /// Whether the whole body has been received.
     pub fn is_complete(&self) -> bool {
         matches!(self.state, BodyState::Complete)
     }
 
-    /// Whether the end of the connection ends its body.
+    /// Whether the body is delimited by the close of the connection.
     pub fn ends_at_close(&self) -> bool {
         matches!(self.state, BodyState::UntilClose)
     }
 
-    /// Nothing more comes of its body: the connection has ended, or there is none.
+    /// Marks the body as complete, when the connection has closed or the message has no body.
     pub fn mark_complete(&mut self) {
         self.state = BodyState::Complete;
     }
 
-    /// Removes its head, and what is here of its body, from the buffer.
+    /// Removes the head and the decoded part of the body from the buffer.
     pub fn consume(&mut self, buffer: &mut Buffer) {
         self.consumed_bytes += self.body_end - self.body_start;
         buffer.remove(0..self.body_end);
@@ -239,12 +238,12 @@
         self.body_end = 0;
     }
 
-    /// Moves what is here of its body to another buffer, which is empty and of the same size.
+    /// Moves the decoded part of the body to another buffer, which must be empty and of the same size.
     pub fn move_body(&mut self, from: &mut Buffer, to: &mut Buffer, chunked: bool) {
         let body = &from.filled()[self.body_start..self.body_end];
         let fitted = write_body_piece(body, chunked, to)
             && (!chunked || !self.is_complete() || to.append(b"0\r\n\r\n"));
-        debug_assert!(fitted, "no buffer is filled to its end");
+        debug_assert!(fitted, "a body piece must fit into an empty buffer");
         self.consume(from);
     }
 }
--- a/proxy/src/http/error.rs
+++ b/proxy/src/http/error.rs
@@ -1,21 +1,21 @@
-//! Why a message cannot be parsed.
+//! Parse errors.
 
 use super::status;
 use thiserror::Error;
 
-/// Why a message cannot be parsed; each reason has the status code that rejects a request for it.
+/// Why a message cannot be parsed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum ParseError {
-    /// The head is not one of HTTP/1.1.
+    /// The head is not valid HTTP/1.1.
     #[error("malformed head")]
     MalformedHead(#[source] httparse::Error),
-    /// The parser accepted a head that has no method, target, version or status code.
+    /// The head lacks a method, target, version or status code.
     #[error("incomplete start line")]
     IncompleteStartLine,
-    /// The head is longer than a buffer may hold.
+    /// The head exceeds the length limit.
     #[error("head too long")]
     HeadTooLong,
-    /// The head has more headers than the proxy reads.
+    /// The head exceeds the limit on headers.
     #[error("too many headers")]
     TooManyHeaders,
     /// `Content-Length` is not a plain decimal number.
@@ -25,24 +25,24 @@
     #[error("conflicting Content-Length headers")]
     ConflictingContentLength,
     /// The head has both `Content-Length` and `Transfer-Encoding`.
-    #[error("both Content-Length and Transfer-Encoding")]
+    #[error("both Content-Length and Transfer-Encoding present")]
     ConflictingFraming,
     /// The transfer coding is not exactly `chunked`.
     #[error("unsupported transfer coding")]
     UnsupportedTransferCoding,
-    /// A chunk's size line or its end is malformed.
+    /// The size line or the end of a chunk is malformed.
     #[error("malformed chunk")]
     MalformedChunk,
-    /// The body is longer than allowed.
+    /// The body exceeds the length limit.
     #[error("body too long")]
     BodyTooLong,
-    /// A line of the trailer section is longer than a head may be.
+    /// A line of the trailer section exceeds the length limit for heads.
     #[error("trailer section too long")]
     TrailersTooLong,
 }
 
 impl ParseError {
-    /// The status code with which a request is rejected for it.
+    /// The status code of the response to a request with this error.
     pub fn status(self) -> u16 {
         match self {
             ParseError::MalformedHead(_)
--- a/proxy/src/http/forward.rs
+++ b/proxy/src/http/forward.rs
@@ -1,11 +1,11 @@
-//! What of a message is forwarded, and how it is written.
+//! Rewriting messages for forwarding.
 
 use super::body::{write_body_piece, BodyFraming, Message};
 use super::head::{origin_form, parse_request, parse_response};
 use crate::buffers::{Buffer, MAX_BODY_BYTES};
 use httparse::Header;
 
-/// Headers that concern one connection only (RFC 9110, section 7.6.1), or that the proxy writes itself.
+/// Hop-by-hop headers (RFC 9110, section 7.6.1), and headers that the proxy generates itself.
 const NOT_FORWARDED_HEADERS: [&str; 11] = [
     "connection",
     "keep-alive",
@@ -27,7 +27,7 @@
     !never_forwarded && !name.eq_ignore_ascii_case(excluded)
 }
 
-/// Writes the headers that are forwarded, without `excluded`; whether they fitted.
+/// Writes the headers to be forwarded, without `excluded`. Returns whether they fitted.
 fn write_forwarded_headers(headers: &[Header], excluded: &str, buffer: &mut Buffer) -> bool {
     headers
         .iter()
@@ -40,9 +40,10 @@
         })
 }
 
-/// Writes a request as it is forwarded in an attempt of this timeout; whether it fitted.
+/// Writes a request as forwarded to an endpoint, with the attempt's timeout in `X-Timeout`. Returns whether it
+/// fitted.
 ///
-/// `bytes` hold the request as it was received, and `message` describes it.
+/// `bytes` is the request as received, and `message` describes it.
 pub fn write_request(
     bytes: &[u8],
     message: &Message,
@@ -67,7 +68,7 @@
     head_fitted && write_body_piece(body, body_length.is_none(), buffer)
 }
 
-/// Writes an endpoint's whole response as it goes to the client; whether it fitted.
+/// Writes a complete response of an endpoint as forwarded to the client. Returns whether it fitted.
 pub fn write_response(bytes: &[u8], message: &Message, close: bool, buffer: &mut Buffer) -> bool {
     let length = message.body_end - message.body_start;
     write_response_start(
@@ -79,8 +80,8 @@
     )
 }
 
-/// Writes the start of an endpoint's response: its head, and what `bytes` hold of its body, which begins at
-/// `body_start`; whether it fitted.
+/// Writes the start of an endpoint's response as forwarded to the client: its head, and the part of its body in
+/// `bytes`, from `body_start` on. Returns whether it fitted.
 pub fn write_response_start(
     bytes: &[u8],
     body_start: usize,
--- a/proxy/src/http/head.rs
+++ b/proxy/src/http/head.rs
@@ -1,14 +1,14 @@
-//! Heads of requests and responses: parsing, header lookup, and the framing that headers announce.
+//! Parsing of request and response heads: header lookup, body framing and connection persistence.
 
 use super::body::{BodyState, Message};
 use super::{status, ParseError};
 use crate::buffers::{MAX_BODY_BYTES, MAX_HEAD_BYTES};
 use httparse::{Header, Status, EMPTY_HEADER};
 
-/// More headers than any client of ours sends; each costs stack only.
+/// Limit on the headers of a message. They are parsed on the stack.
 const MAX_HEADERS: usize = 64;
 
-/// The value of the first header of a name; none where it is not UTF-8.
+/// The trimmed value of the first header with this name; none if it is not UTF-8.
 pub fn header_value<'a>(headers: &[Header<'a>], name: &str) -> Option<&'a str> {
     let header = headers
         .iter()
@@ -16,7 +16,7 @@
     std::str::from_utf8(header.value).ok().map(str::trim)
 }
 
-/// Whether a header that is a comma-separated list has an element.
+/// Whether a header whose value is a comma-separated list contains an element.
 fn list_contains(headers: &[Header], name: &str, element: &str) -> bool {
     headers
         .iter()
@@ -25,10 +25,10 @@
         .any(|listed| listed.trim_ascii().eq_ignore_ascii_case(element.as_bytes()))
 }
 
-/// The body's length by `Content-Length`; none without that header.
+/// The body length in `Content-Length`; none without that header.
 ///
-/// Signs and lengths that differ are errors: with either, the next request on the connection would be read
-/// from a wrong place.
+/// Signs and conflicting lengths are errors: recipients could disagree on where the next message starts, which
+/// allows request smuggling.
 fn content_length(headers: &[Header]) -> Result<Option<usize>, ParseError> {
     let mut parsed_length = None;
     for header in headers
@@ -39,7 +39,7 @@
         if digits.is_empty() || !digits.iter().all(u8::is_ascii_digit) {
             return Err(ParseError::InvalidContentLength);
         }
-        // Digits that are no `usize` are too many of them.
+        // Only overflow can fail here.
         let length = std::str::from_utf8(digits)
             .ok()
             .and_then(|digits| digits.parse().ok())
@@ -52,7 +52,7 @@
     Ok(parsed_length)
 }
 
-/// How the body is framed by its headers; `default` where they do not say.
+/// The body framing that the headers declare; `default` if they declare none.
 fn body_state(
     headers: &[Header],
     max_body: usize,
@@ -66,7 +66,7 @@
         if !header.value.trim_ascii().eq_ignore_ascii_case(b"chunked") {
             return Err(ParseError::UnsupportedTransferCoding);
         }
-        // Two framings in one message are read in two ways by two readers: request smuggling.
+        // Recipients could disagree on which framing applies, which allows request smuggling.
         if content_length.is_some() {
             return Err(ParseError::ConflictingFraming);
         }
@@ -79,7 +79,7 @@
     }
 }
 
-/// The message whose head ends at `head_length`.
+/// Builds the message whose head ends at `head_length`.
 fn message(
     headers: &[Header],
     head_length: usize,
@@ -87,7 +87,7 @@
     max_body: usize,
     default: BodyState,
 ) -> Result<Message, ParseError> {
-    // HTTP/1.0 closes by default, HTTP/1.1 keeps the connection.
+    // Connections are persistent by default in HTTP/1.1, but not in HTTP/1.0.
     let persistent = if minor_version == 0 {
         list_contains(headers, "connection", "keep-alive")
     } else {
@@ -105,7 +105,7 @@
     ))
 }
 
-/// The length of a head, by what the parser made of it; none until it is complete.
+/// The length of a head, from the parser's result; none until the head is complete.
 fn head_length(
     parsed: httparse::Result<usize>,
     received: usize,
@@ -113,7 +113,6 @@
     match parsed {
         Ok(Status::Complete(length)) if length > MAX_HEAD_BYTES => Err(ParseError::HeadTooLong),
         Ok(Status::Complete(length)) => Ok(Some(length)),
-        // A head without end would fill the buffer.
         Ok(Status::Partial) if received >= MAX_HEAD_BYTES => Err(ParseError::HeadTooLong),
         Ok(Status::Partial) => Ok(None),
         Err(httparse::Error::TooManyHeaders) => Err(ParseError::TooManyHeaders),
@@ -121,10 +120,12 @@
     }
 }
 
-/// Parses a request's head and hands method, target and headers to `inspect`; none until the head is complete.
+/// Parses a request head and passes method, target and headers to `inspect`. Returns none until the head is
+/// complete.
 ///
 /// # Errors
-/// The head is malformed or too long, or its framing is ambiguous.
+///
+/// The head is malformed or too long, or its body framing is invalid.
 pub fn parse_request<T>(
     bytes: &[u8],
     inspect: impl FnOnce(&str, &str, &[Header]) -> T,
@@ -150,11 +151,12 @@
     Ok(Some((message, inspect(method, target, request.headers))))
 }
 
-/// Parses a response's head and hands status code and headers to `inspect`; none until the head is complete. Its
-/// body may be as long as `max_body`.
+/// Parses a response head and passes status code and headers to `inspect`. Returns none until the head is complete.
+/// The body is limited to `max_body` bytes.
 ///
 /// # Errors
-/// The head is malformed or too long, or its framing is ambiguous.
+///
+/// The head is malformed or too long, or its body framing is invalid.
 pub fn parse_response<T>(
     bytes: &[u8],
     max_body: usize,
@@ -178,15 +180,14 @@
     )?;
     let informational = status < status::OK;
     if informational || status == status::NO_CONTENT || status == status::NOT_MODIFIED {
-        // These have no body, whatever their headers say.
+        // Responses with these status codes have no body, whatever the headers declare.
         message.mark_complete();
         message.keep_alive = !list_contains(response.headers, "connection", "close");
     }
     Ok(Some((message, inspect(status, response.headers))))
 }
 
-/// A request target in origin-form (RFC 9112, section 3.2.1): without the scheme and host that absolute-form
-/// has before the path.
+/// Converts a request target in absolute-form to origin-form (RFC 9112, section 3.2): removes scheme and authority.
 pub fn origin_form(target: &str) -> &str {
     let Some(authority_and_path) = target.strip_prefix("http://") else {
         return target;
--- a/proxy/src/http/local_response.rs
+++ b/proxy/src/http/local_response.rs
@@ -1,8 +1,8 @@
-//! Responses that the proxy composes itself.
+//! Responses that the proxy generates itself.
 
 use super::status::reason_phrase;
 
-/// A response with a plain text, after which the connection is closed; the admin API answers with these.
+/// A plain-text response with `Connection: close`, for the admin API.
 pub fn text_response(status: u16, text: &str) -> String {
     let reason = reason_phrase(status);
     let length = text.len();
@@ -12,8 +12,8 @@
     )
 }
 
-/// A response without a body, with a `Retry-After` where `retry_after_ms` is positive, and with
-/// `Connection: close` where the connection ends with it.
+/// A response without a body, with `Retry-After` if `retry_after_ms` is positive, and with `Connection: close` if
+/// `close` is set.
 pub fn empty_response(status: u16, retry_after_ms: f64, close: bool) -> String {
     let reason = reason_phrase(status);
     let retry_after = if retry_after_ms > 0.0 {
--- a/proxy/src/http/mod.rs
+++ b/proxy/src/http/mod.rs
@@ -1,12 +1,12 @@
-//! HTTP/1.1 messages (RFC 9110, RFC 9112): heads, body framing, the proxy's own responses, and what of a
-//! message is forwarded. Bodies are decoded in place, in the buffer that they were read into.
+//! HTTP/1.1 messages (RFC 9110, RFC 9112): parsing, body framing, forwarding, and the proxy's own responses. Bodies
+//! are decoded in place, in the buffer that they were read into.
 
 mod body;
 mod error;
 mod forward;
 mod head;
 mod local_response;
-/// Status codes of the proxy's own responses.
+/// HTTP status codes.
 pub mod status;
 
 pub use body::{BodyFraming, Message};
--- a/proxy/src/http/status.rs
+++ b/proxy/src/http/status.rs
@@ -1,31 +1,31 @@
-//! The status codes that the proxy sends itself.
+//! The status codes that the proxy sends or interprets.
 
-/// 200.
+/// 200 OK.
 pub const OK: u16 = 200;
-/// 204, which has no body.
+/// 204 No Content.
 pub const NO_CONTENT: u16 = 204;
-/// 304, which has no body.
+/// 304 Not Modified.
 pub const NOT_MODIFIED: u16 = 304;
-/// 400.
+/// 400 Bad Request.
 pub const BAD_REQUEST: u16 = 400;
-/// 404.
+/// 404 Not Found.
 pub const NOT_FOUND: u16 = 404;
-/// 405.
+/// 405 Method Not Allowed.
 pub const METHOD_NOT_ALLOWED: u16 = 405;
-/// 408.
+/// 408 Request Timeout.
 pub const REQUEST_TIMEOUT: u16 = 408;
-/// 409.
+/// 409 Conflict.
 pub const CONFLICT: u16 = 409;
-/// 413.
+/// 413 Content Too Large.
 pub const CONTENT_TOO_LARGE: u16 = 413;
-/// 431.
+/// 431 Request Header Fields Too Large.
 pub const REQUEST_HEADER_FIELDS_TOO_LARGE: u16 = 431;
-/// 502.
+/// 502 Bad Gateway.
 pub const BAD_GATEWAY: u16 = 502;
-/// 503.
+/// 503 Service Unavailable.
 pub const SERVICE_UNAVAILABLE: u16 = 503;
 
-/// The reason phrase of a status code that the proxy sends itself.
+/// The reason phrase of a status code that the proxy sends.
 pub(super) fn reason_phrase(status: u16) -> &'static str {
     match status {
         OK => "OK",
