--- a/proxy/src/streaming/request.rs
+++ b/proxy/src/streaming/request.rs
@@ -1,5 +1,5 @@
-//! Requests too long for one buffer: the client is read only once the endpoint has taken the piece before, so that
-//! neither side's pace costs more than two buffers.
+//! Streaming of request bodies. The client is read only after the endpoint has taken the previous piece, so a request
+//! never needs more than two buffers.
 
 use crate::buffers::{Buffer, ReadOutcome};
 use crate::downstream::RequestError;
@@ -9,23 +9,23 @@
 use crate::upstream::{RequestState, StreamedRequest};
 use crankmux::types::{AttemptOutcome, LoadReport};
 
-/// What moving the next piece of a body has come to.
+/// Result of one step of streaming a request body.
 enum RequestStreamStep {
-    /// A piece has moved or has been received, or the endpoint has taken the first one.
+    /// A piece was received or forwarded.
     Progress,
-    /// The last piece has moved.
+    /// The last piece is in the endpoint's write buffer.
     LastPiece,
-    /// The client has sent nothing more yet, or the endpoint takes no more.
+    /// Reading from the client or writing to the endpoint would block.
     Pending,
-    /// The client has left, and its connection is gone.
+    /// The client connection no longer exists.
     ClientGone,
-    /// The client has ended too early.
+    /// The client closed its connection before the body was complete.
     IncompleteBody,
-    /// The body cannot be read.
+    /// The body cannot be decoded.
     Malformed(RequestError),
 }
 
-/// Moves the next piece of a body from its client to the buffer of the connection to the endpoint.
+/// Moves the next piece of a body from the client to the write buffer of the endpoint connection.
 fn move_request_piece(
     upload: &mut Upload,
     write_buffer: &mut Buffer,
@@ -58,8 +58,8 @@
 }
 
 impl Proxy {
-    /// Streams a request body on, as far as client and endpoint go. Returns whether the connection is still there:
-    /// a key given back may stand for the connection of the next attempt.
+    /// Streams a request body until either side would block. Returns whether the connection still exists; if not, its
+    /// key may already be reused for another attempt.
     pub(crate) fn stream_request_body(&mut self, key: UpstreamKey) -> bool {
         let now = self.now();
         loop {
@@ -76,7 +76,7 @@
                 RequestStreamStep::Progress => {}
                 RequestStreamStep::LastPiece | RequestStreamStep::Pending => return true,
                 RequestStreamStep::ClientGone => {
-                    // The endpoint never had the request whole.
+                    // The endpoint has not received the whole request.
                     self.fail_attempt(key, AttemptOutcome::Cancelled, LoadReport::default());
                     return false;
                 }
@@ -85,7 +85,7 @@
                     return false;
                 }
                 RequestStreamStep::Malformed(error) => {
-                    // The endpoint has half of the body and so never ran the request.
+                    // The endpoint has only part of the body, so it cannot have processed the request.
                     self.counters.invalid_requests += 1;
                     self.reject_upload(client, error);
                     return false;
@@ -94,7 +94,7 @@
         }
     }
 
-    /// Writes the pending piece, and once the endpoint has taken it moves the next one up.
+    /// Writes the pending piece to the endpoint, then moves the next one into the write buffer.
     fn stream_request_piece(
         &mut self,
         key: UpstreamKey,
@@ -117,7 +117,7 @@
             return RequestStreamStep::ClientGone;
         };
         if !std::mem::replace(upload.first_piece_sent, true) {
-            // The first piece is with the endpoint, and makes room for the next.
+            // The first piece has been written, so its bytes can be removed from the read buffer.
             upload.message.consume(upload.read_buffer);
             if let Some(request) = request {
                 self.streaming_progress(request, key, false);
--- a/proxy/src/streaming/response.rs
+++ b/proxy/src/streaming/response.rs
@@ -1,5 +1,5 @@
-//! Responses too long for one buffer: the endpoint is read only once the client has taken the piece before, so that
-//! neither side's pace costs more than two buffers.
+//! Streaming of response bodies. The endpoint is read only after the client has taken the previous piece, so a response
+//! never needs more than two buffers.
 
 use crate::buffers::{Buffer, ReadOutcome};
 use crate::http::{self, BodyFraming};
@@ -9,20 +9,20 @@
 use crate::upstream::{AttemptResponse, ResponseState};
 use crankmux::types::{AttemptOutcome, LoadReport};
 
-/// What streaming one piece has come to.
+/// Result of one step of streaming a response body.
 enum ResponseStreamStep {
-    /// A piece has moved or has been received.
+    /// A piece was received or forwarded.
     Progress,
-    /// The last piece is with the client's connection.
+    /// The last piece is in the client's write buffer.
     LastPiece,
-    /// Client or endpoint are not ready for the next piece.
+    /// Reading from the endpoint or writing to the client would block.
     Pending,
-    /// The response breaks off.
+    /// The response is truncated or malformed.
     Failed,
 }
 
 impl Proxy {
-    /// Sends head and first piece to the client, whose final response it is from now on.
+    /// Sends head and first piece to the client. From here on the request cannot be retried.
     pub(crate) fn begin_response_stream(&mut self, key: UpstreamKey, mut inbox: Buffer) {
         let now = self.clock.now();
         let attempt = self.upstream.connections[key].attempt_mut();
@@ -41,7 +41,7 @@
         let framing = match response.message.body_length() {
             Some(length) => BodyFraming::Length(length),
             None if self.downstream.accepts_chunked(client) => BodyFraming::Chunked,
-            // Only the connection's end delimits the response, so one cut short is reset.
+            // The close delimits this response; a truncated one is reset instead.
             None => BodyFraming::UntilClose,
         };
         attempt.response_streaming_began(client, framing == BodyFraming::Chunked, now);
@@ -49,7 +49,7 @@
         self.timers.cancel(timer);
         self.streaming_progress(request, key, false);
         self.set_response_source(client, key, framing == BodyFraming::UntilClose);
-        // Until its last byte is with the client.
+        // Overwritten once the response is complete.
         self.downstream.set_outcome(client, RequestOutcome::Failed);
         self.respond_with(client, |close, write_buffer| {
             http::write_response_start(&inbox.filled()[..end], head, framing, close, write_buffer)
@@ -64,13 +64,13 @@
         self.upstream_timeout(key);
     }
 
-    /// Nobody waits for the response any more.
+    /// Cancels the attempt, as no client waits for its response any more.
     fn cancel_response_stream(&mut self, key: UpstreamKey, inbox: Buffer) {
         self.buffers.give_back(inbox);
         self.fail_attempt(key, AttemptOutcome::Cancelled, LoadReport::default());
     }
 
-    /// Streams a response body on, as far as endpoint and client go.
+    /// Streams a response body until either side would block.
     pub(crate) fn stream_response_body(&mut self, key: UpstreamKey) {
         loop {
             match self.stream_response_piece(key) {
@@ -78,7 +78,7 @@
                 ResponseStreamStep::Pending => return,
                 ResponseStreamStep::LastPiece => return self.finish_response_stream(key),
                 ResponseStreamStep::Failed => {
-                    // The client is cut off with the connection, so that it can tell.
+                    // This also closes the client connection, so that the client detects the truncation.
                     let outcome = AttemptOutcome::ConnectionLost;
                     return self.fail_attempt(key, outcome, LoadReport::default());
                 }
@@ -86,7 +86,7 @@
         }
     }
 
-    /// Moves the piece that is here to the client, or reads the next one.
+    /// Forwards the received piece to the client, or reads the next one.
     fn stream_response_piece(&mut self, key: UpstreamKey) -> ResponseStreamStep {
         let now = self.clock.now();
         let Some(attempt) = self.upstream.attempt_mut(key) else {
@@ -133,15 +133,15 @@
         let Some(mut inbox) = inbox else {
             return ResponseStreamStep::Pending;
         };
-        let filled = connection.read_into(&mut inbox);
-        if filled == ReadOutcome::Received {
+        let read_outcome = connection.read_into(&mut inbox);
+        if read_outcome == ReadOutcome::Received {
             self.upstream.note_heard(endpoint, now);
         }
         let Some(attempt) = self.upstream.connections[key].attempt_mut() else {
             self.buffers.give_back(inbox);
             return ResponseStreamStep::Pending;
         };
-        if filled == ReadOutcome::Received {
+        if read_outcome == ReadOutcome::Received {
             attempt.last_progress_at = now;
         }
         let inbox = attempt.inbox.insert(inbox);
@@ -149,8 +149,8 @@
             return ResponseStreamStep::Pending;
         };
         let message = &mut response.message;
-        let read = message.decode_body(inbox);
-        match (&read, filled) {
+        let decoded = message.decode_body(inbox);
+        match (&decoded, read_outcome) {
             (Ok(_), ReadOutcome::Received) => ResponseStreamStep::Progress,
             (Ok(_), ReadOutcome::WouldBlock) => ResponseStreamStep::Pending,
             (Ok(_), ReadOutcome::Closed) if message.ends_at_close() => {
@@ -159,14 +159,14 @@
             }
             _ => {
                 log::debug!(
-                    "endpoint {endpoint}: a long response breaks off: {read:?}, {filled:?}"
+                    "endpoint {endpoint}: streamed response is truncated or malformed: {decoded:?}, {read_outcome:?}"
                 );
                 ResponseStreamStep::Failed
             }
         }
     }
 
-    /// All of the response is with the client's connection.
+    /// Ends the attempt once the whole response is in the client's write buffer.
     fn finish_response_stream(&mut self, key: UpstreamKey) {
         let now = self.clock.now();
         let connection = &mut self.upstream.connections[key];
