--- a/proxy/src/descriptors/limit.rs
+++ b/proxy/src/descriptors/limit.rs
@@ -1,21 +1,20 @@
-//! How many descriptors the system allows.
+//! The system's limit on file descriptors.
 
 use rustix::process::{getrlimit, Resource};
 
-/// The share of the system's limit that is kept for connections to endpoints where that limit is too low for the
-/// tables of connections to be filled. Clients get the rest: those that say nothing are closed after a grace, so
-/// that fewer places for them make every client wait longer.
+/// If the system's limit is lower than the configured one, the limit divided by this is reserved for connections to
+/// endpoints. Clients get the rest: with fewer descriptors, new clients wait longer for idle connections
+/// to be evicted.
 const ATTEMPT_SHARE_DIVISOR: usize = 8;
 
-/// The most descriptors that the system lets this process open; none where there is no limit.
+/// The soft `RLIMIT_NOFILE` of this process; none if unlimited.
 fn system_limit() -> Option<usize> {
     let limit = getrlimit(Resource::Nofile).current?;
     usize::try_from(limit).ok()
 }
 
-/// How many descriptors connections to endpoints have for themselves, in a process that may hold `configured`
-/// descriptors by its configuration. Where the system allows as many, the tables of connections leave room for both
-/// sides and nothing has to be reserved.
+/// How many descriptors to reserve for connections to endpoints, in a process configured for `configured` descriptors.
+/// Nothing is reserved if the system allows that many, as the limits of the connection tables then suffice.
 pub fn attempt_reserve(configured: usize) -> usize {
     match system_limit() {
         Some(limit) if limit < configured => limit / ATTEMPT_SHARE_DIVISOR,
--- a/proxy/src/descriptors/mod.rs
+++ b/proxy/src/descriptors/mod.rs
@@ -1,9 +1,9 @@
-//! File descriptors, where connections of clients have taken the last ones.
+//! Reservation of file descriptors, so that client connections cannot exhaust those needed for other purposes.
 //!
-//! - `reserve` holds descriptors back for what must go on whatever clients do, for each purpose apart.
-//! - `limit` tells how many the system allows.
-//! - `proxy_reserve` keeps the reserve of a running proxy in step with what is open.
-//! - `shortage` counts and reports what wanted a descriptor and found none.
+//! - `reserve` holds descriptors in reserve, separately for each purpose.
+//! - `limit` determines how many descriptors the system allows.
+//! - `proxy_reserve` matches the reserve of a running proxy to its open descriptors.
+//! - `shortage` counts and reports failures to obtain a descriptor.
 
 mod limit;
 mod proxy_reserve;
@@ -18,30 +18,30 @@
 use std::fmt;
 use std::io;
 
-/// A file that every process may open.
+/// File that is opened to hold a descriptor in reserve.
 const PLACEHOLDER_PATH: &str = "/dev/null";
 
-/// What a file descriptor is wanted for.
+/// What a file descriptor is used for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DescriptorPurpose {
-    /// A client's connection.
+    /// A client connection.
     Client,
     /// A connection to an endpoint, for an attempt or a load probe.
     Attempt,
     /// The connection to discovery.
     Discovery,
-    /// A connection of an operator to the admin API.
+    /// A connection to the admin API.
     AdminCaller,
-    /// A file that is opened, read or written, and closed at once.
+    /// A file that is open only while it is read or written.
     File,
-    /// The connection to a newer process.
+    /// The connection to the newer process of an upgrade.
     Handover,
-    /// The port of the cluster.
+    /// The UDP socket of the cluster.
     Cluster,
 }
 
 impl DescriptorPurpose {
-    /// All purposes, in the order of their metrics.
+    /// All purposes, in the order of declaration and of their metrics.
     pub const ALL: [DescriptorPurpose; 7] = [
         DescriptorPurpose::Client,
         DescriptorPurpose::Attempt,
@@ -52,7 +52,7 @@
         DescriptorPurpose::Cluster,
     ];
 
-    /// Its name in metrics and in the log.
+    /// Name in metrics and logs.
     pub fn name(self) -> &'static str {
         match self {
             DescriptorPurpose::Client => "client",
@@ -76,7 +76,7 @@
     }
 }
 
-/// Whether something failed for want of a file descriptor. Closing connections helps against no other failure.
+/// Whether an error is a shortage of file descriptors, which closing connections can resolve.
 pub fn is_out_of_descriptors(error: &io::Error) -> bool {
     matches!(
         Errno::from_io_error(error),
--- a/proxy/src/descriptors/proxy_reserve.rs
+++ b/proxy/src/descriptors/proxy_reserve.rs
@@ -1,19 +1,19 @@
-//! The reserve of a running proxy: what each purpose is owed, and how it is used.
+//! The descriptor reserve of a running proxy: its size for each purpose, and its use.
 
 use super::{is_out_of_descriptors, DescriptorPurpose, DescriptorUsage};
 use crate::proxy::Proxy;
 use std::io;
 
-/// Connections to the admin API: one call, and another beside it, such as a readiness check.
+/// Reserved admin API connections: one for a call, one for a concurrent readiness check.
 const RESERVED_ADMIN_CONNECTIONS: usize = 2;
 
 impl Proxy {
-    /// Opens something that stays open, on a descriptor that is reserved for its purpose. Where none is left, idle
-    /// connections are closed for it. Whatever closes it calls [`Proxy::replenish_reserve_of`].
+    /// Opens a long-lived descriptor from the reserve of its purpose, closing idle connections if none is left. Code
+    /// that closes it must call [`Proxy::replenish_reserve_of`].
     ///
     /// # Errors
     ///
-    /// Why it cannot be opened; a shortage of descriptors is counted and logged.
+    /// The error of `open`. A shortage of descriptors is also counted and logged.
     pub(crate) fn open_reserved<T>(
         &mut self,
         purpose: DescriptorPurpose,
@@ -37,7 +37,7 @@
         }
     }
 
-    /// Runs what opens files, one at a time, and closes each again, on the descriptor that is reserved for files.
+    /// Runs `use_files` with the descriptor reserved for files released. It may have one file open at a time.
     pub(crate) fn with_file_descriptor<T>(&mut self, use_files: impl FnOnce(&mut Proxy) -> T) -> T {
         if !self.replenish_reserve_of(DescriptorPurpose::File) {
             self.report_descriptor_shortage(DescriptorPurpose::File);
@@ -48,8 +48,8 @@
         result
     }
 
-    /// Holds back again what each purpose is owed; whether all of it is held. To be called before clients are
-    /// accepted: they would take each descriptor that becomes free.
+    /// Refills the reserve of every purpose. Returns whether all of it is held. Must be called before accepting
+    /// clients, which would take the free descriptors.
     pub(crate) fn replenish_reserve(&mut self) -> bool {
         let mut is_complete = true;
         for purpose in DescriptorPurpose::ALL {
@@ -58,13 +58,13 @@
         is_complete
     }
 
-    /// The same for one purpose. To be called as soon as a descriptor of that purpose is closed, while it is free.
+    /// Refills the reserve of one purpose. Must be called right after a descriptor of that purpose is closed.
     pub(crate) fn replenish_reserve_of(&mut self, purpose: DescriptorPurpose) -> bool {
         let count = self.required_reserve(purpose);
         self.reserved_descriptors.hold(purpose, count)
     }
 
-    /// How many descriptors are to be held for a purpose: what it is owed, less what it has open.
+    /// How many descriptors to hold for a purpose: its reservation minus those it has open.
     fn required_reserve(&self, purpose: DescriptorPurpose) -> usize {
         match purpose {
             DescriptorPurpose::Client => 0,
@@ -85,8 +85,8 @@
         }
     }
 
-    /// Closes an idle connection so that its descriptor can be used; whether there was one. Requests that are
-    /// admitted go ahead of clients that are idle; for anything else connections to endpoints go first.
+    /// Closes an idle connection to free its descriptor. Returns whether there was one. Idle client connections are
+    /// closed first for an attempt, and idle endpoint connections first for any other purpose.
     fn close_idle_connection_for(&mut self, purpose: DescriptorPurpose) -> bool {
         if purpose == DescriptorPurpose::Attempt {
             self.close_idle_downstream() || self.close_longest_idle_upstream()
@@ -95,13 +95,13 @@
         }
     }
 
-    /// Closes the connection to an endpoint that has been idle longest, unless its descriptor would be reserved for
-    /// the next one at once; whether there was one.
+    /// Closes the longest idle connection to an endpoint, unless its descriptor would go back to the reserve. Returns
+    /// whether one was closed.
     pub(crate) fn close_unreserved_idle_upstream(&mut self) -> bool {
         self.upstream.connections.len() > self.attempt_reserve && self.close_longest_idle_upstream()
     }
 
-    /// Counts that a purpose found no descriptor, and logs who holds them, once a second for each purpose.
+    /// Counts a descriptor shortage, and logs the current usage at most once a second for each purpose.
     pub(crate) fn report_descriptor_shortage(&mut self, purpose: DescriptorPurpose) {
         let now_ms = self.now();
         let Some(count) = self.descriptor_shortages.record(purpose, now_ms) else {
--- a/proxy/src/descriptors/reserve.rs
+++ b/proxy/src/descriptors/reserve.rs
@@ -1,26 +1,26 @@
-//! Descriptors held in reserve, by purpose.
+//! Descriptors held in reserve for each purpose.
 
 use super::{is_out_of_descriptors, DescriptorPurpose, PLACEHOLDER_PATH};
 use std::fmt;
 use std::fs::File;
 
-/// File descriptors that are held open for one purpose each, so that no other takes them. Whoever opens something
-/// releases one of its own purpose first, and has it replenished once the descriptor is closed again.
+/// File descriptors held open on a placeholder file, separately for each purpose. Code that opens a descriptor first
+/// releases one of its purpose, and has the reserve replenished when the descriptor is closed again.
 ///
-/// A pool that all purposes share guarantees none of them anything: what is never done, such as connecting to
-/// endpoints or polling discovery, takes from it what an operator's call needs.
+/// A pool shared by all purposes would guarantee nothing: frequent uses, such as connecting to endpoints, could exhaust
+/// it.
 #[derive(Default)]
 pub struct ReservedDescriptors {
     held: [Vec<File>; DescriptorPurpose::ALL.len()],
 }
 
 impl ReservedDescriptors {
-    /// Releases one that is held for a purpose, if there is one.
+    /// Releases one descriptor held for a purpose, if there is one.
     pub fn release(&mut self, purpose: DescriptorPurpose) {
         self.held[purpose.index()].pop();
     }
 
-    /// Holds so many for a purpose, or as many as there are to have; whether all are held.
+    /// Holds `count` descriptors for a purpose, or as many as can be opened. Returns false on a shortage.
     pub fn hold(&mut self, purpose: DescriptorPurpose, count: usize) -> bool {
         let held = &mut self.held[purpose.index()];
         held.truncate(count);
@@ -33,7 +33,7 @@
         true
     }
 
-    /// How many are held for a purpose.
+    /// How many descriptors are held for a purpose.
     pub fn held(&self, purpose: DescriptorPurpose) -> usize {
         self.held[purpose.index()].len()
     }
--- a/proxy/src/descriptors/shortage.rs
+++ b/proxy/src/descriptors/shortage.rs
@@ -1,13 +1,13 @@
-//! Shortages of descriptors: counted for the metrics, and reported in the log without flooding it.
+//! Descriptor shortages: counts for the metrics, and rate-limited reports for the log.
 
 use super::DescriptorPurpose;
 use std::fmt;
 
-/// A purpose is reported once in so long, with the number of shortages since; in milliseconds.
+/// Minimum interval between two reports for a purpose.
 const REPORT_INTERVAL_MS: f64 = 1000.0;
 const PURPOSES: usize = DescriptorPurpose::ALL.len();
 
-/// How often each purpose wanted a descriptor and found none.
+/// Number of descriptor shortages by purpose.
 pub struct DescriptorShortages {
     by_purpose: [PurposeShortages; PURPOSES],
 }
@@ -33,7 +33,7 @@
 }
 
 impl DescriptorShortages {
-    /// Counts a shortage. Returns how many have come since the last report where a report is due.
+    /// Counts a shortage. If a report is due, returns the number of shortages since the last one.
     pub fn record(&mut self, purpose: DescriptorPurpose, now_ms: f64) -> Option<u64> {
         let shortages = &mut self.by_purpose[purpose.index()];
         shortages.total += 1;
@@ -45,13 +45,13 @@
         Some(std::mem::take(&mut shortages.unreported))
     }
 
-    /// The count of a purpose.
+    /// Total number of shortages for a purpose.
     pub fn total(&self, purpose: DescriptorPurpose) -> u64 {
         self.by_purpose[purpose.index()].total
     }
 }
 
-/// The metrics, one a line.
+/// Writes the metrics, one per line.
 impl fmt::Display for DescriptorShortages {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         for purpose in DescriptorPurpose::ALL {
@@ -62,20 +62,20 @@
     }
 }
 
-/// Who holds connections, as a shortage is reported.
+/// Connections that hold descriptors, for the report of a shortage.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct DescriptorUsage {
-    /// Connections of clients.
+    /// Client connections.
     pub clients: usize,
-    /// Those with a request or a response under way, which are never closed for others.
+    /// Client connections with a request or response in progress, which are never evicted.
     pub busy_clients: usize,
-    /// How long the youngest connection without one has been idle.
+    /// Shortest idle time of the other client connections.
     pub youngest_idle_ms: Option<f64>,
-    /// How long the oldest such connection has been idle.
+    /// Longest idle time of the other client connections.
     pub oldest_idle_ms: Option<f64>,
     /// Connections to endpoints.
     pub upstream: usize,
-    /// Those that are idle.
+    /// Idle connections to endpoints.
     pub idle_upstream: usize,
 }
 
