--- a/proxy/src/downstream/accept.rs
+++ b/proxy/src/downstream/accept.rs
@@ -1,4 +1,4 @@
-//! Accepting clients' connections.
+//! Accepting client connections.
 
 use super::connection::DownstreamConnection;
 use super::REQUEST_TIMEOUT_MS;
@@ -9,11 +9,11 @@
 use mio::Interest;
 use std::io;
 
-/// How soon accepting is tried again after an error: a few times before any client gives up.
+/// Delay before accepting again after an error; much shorter than client timeouts.
 const ACCEPT_RETRY_DELAY_MS: f64 = 50.0;
 
 impl Proxy {
-    /// Has the event loop watch the listener.
+    /// Registers the listener with the event loop.
     pub fn listen(&mut self) {
         if self.downstream.listening {
             return;
@@ -26,11 +26,11 @@
             .register(listener, LISTENER, Interest::READABLE)
         {
             Ok(()) => self.downstream.listening = true,
-            Err(error) => log::error!("cannot watch the listener: {error}"),
+            Err(error) => log::error!("cannot register the listener with the event loop: {error}"),
         }
     }
 
-    /// Leaves new connections to the other process that has this listener.
+    /// Stops accepting; the other process of an upgrade, which shares the listener, accepts instead.
     pub fn stop_listening(&mut self) {
         if !self.downstream.listening {
             return;
@@ -38,12 +38,12 @@
         let Some(listener) = &mut self.downstream.listener else {
             return;
         };
-        // It was registered, which is all that this could fail for; accepting stops either way.
+        // Fails only if the listener is not registered, which has the same effect.
         let _ = self.registry.deregister(listener);
         self.downstream.listening = false;
     }
 
-    /// Accepts the connections that wait, as far as there is room or room can be made.
+    /// Accepts pending connections, evicting others if the table is full.
     pub fn accept(&mut self) {
         self.downstream.accept_pending = false;
         if !self.downstream.listening {
@@ -51,14 +51,13 @@
         }
         self.timers.cancel(self.downstream.accept_retry.take());
         loop {
-            // Without a free slot the connections that only stand idle would keep new clients out.
             if self.downstream.table.is_full() && !self.evict_client() {
-                // All have a request in flight or have just come; the others wait until one is answered.
+                // Every connection is busy or new. Accepting resumes once one of them is free.
                 self.downstream.accept_pending = true;
                 return self.retry_accept_later();
             }
             if !self.replenish_reserve() {
-                // Clients would take the place of the descriptor that was given up as soon as it is free.
+                // A client connection accepted now would take a descriptor that is missing from the reserve.
                 if !self.free_descriptor_for_client() {
                     self.report_descriptor_shortage(DescriptorPurpose::Client);
                     return self.retry_accept_later();
@@ -72,14 +71,14 @@
                 Ok((stream, _)) => self.add_client(stream),
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => return,
                 Err(error) if is_transient(&error) => {}
-                // The system is out of descriptors before the table is full. The listener stays readable, and
-                // trying again at once, over and over, would take the whole core.
+                // Out of descriptors before the table is full. The listener stays readable, so retrying
+                // immediately would be a busy loop.
                 Err(error) => {
                     if !self.free_descriptor_for_client() {
                         if is_out_of_descriptors(&error) {
                             self.report_descriptor_shortage(DescriptorPurpose::Client);
                         } else {
-                            log::warn!("cannot accept: {error}");
+                            log::warn!("cannot accept a client connection: {error}");
                         }
                         return self.retry_accept_later();
                     }
@@ -94,7 +93,8 @@
         self.downstream.accept_retry = Some(retry);
     }
 
-    /// Closes the connection that is needed least; whether there was one.
+    /// Frees a descriptor by evicting a client or closing an idle endpoint connection. Returns whether one was
+    /// closed.
     fn free_descriptor_for_client(&mut self) -> bool {
         self.evict_client() || self.close_unreserved_idle_upstream()
     }
@@ -106,24 +106,24 @@
             .registry
             .register(&mut stream, client_token(key), interest)
         {
-            log::warn!("cannot watch a client: {error}");
+            log::warn!("cannot register a client connection with the event loop: {error}");
             return;
         }
-        // Without it a small response may wait for the acknowledgement of the one before. Where it cannot be
-        // set the connection is slower, and works.
+        // TCP_NODELAY avoids delays of small responses; the connection also works without it.
         let _ = stream.set_nodelay(true);
         let now_ms = self.clock.now();
         self.downstream
             .table
             .insert(DownstreamConnection::new(stream, now_ms));
-        // Connections by hundreds that never say anything would hold descriptors for good.
+        // Closes connections that never send a request.
         self.set_read_timeout(key, REQUEST_TIMEOUT_MS);
         self.counters.connections_accepted += 1;
         self.downstream.ready.push(key);
     }
 }
 
-/// Whether accepting may go on after an error: it was interrupted, or the client has gone already.
+/// Whether accepting can continue after an error: the call was interrupted, or the client closed the connection
+/// before it was accepted.
 fn is_transient(error: &io::Error) -> bool {
     matches!(
         error.kind(),
--- a/proxy/src/downstream/close.rs
+++ b/proxy/src/downstream/close.rs
@@ -1,4 +1,4 @@
-//! How clients' connections end.
+//! Closing client connections.
 
 use super::connection::{ConnectionState, DownstreamConnection, ResponseSource};
 use super::{DISCARD_BUFFER_BYTES, LINGER_TIMEOUT_MS};
@@ -12,7 +12,7 @@
 use std::time::Duration;
 
 impl Proxy {
-    /// Takes no more clients: those that wait are accepted and the listener is closed.
+    /// Accepts the pending connections, unless a newer process does, and closes the listener.
     pub fn close_listener(&mut self) {
         if !self.upgrade.has_newer_process() {
             self.accept();
@@ -21,7 +21,7 @@
         self.downstream.listener = None;
     }
 
-    /// Closes a connection: the one place where it and its buffers are given back.
+    /// Closes a connection and releases its slot, buffers and timer.
     pub fn close_downstream(&mut self, key: DownstreamKey) {
         let Some(mut client) = self.downstream.table.remove(key) else {
             return;
@@ -29,7 +29,7 @@
         if let Some(source) = client.response_source() {
             self.abort_response_stream(&client, source);
         }
-        // It was registered as it was accepted, which is all that this could fail for.
+        // Fails only if the socket is not registered; every accepted socket is.
         let _ = self.registry.deregister(&mut client.stream);
         self.timers.cancel(client.timer);
         let awaited_request = client.awaited_request();
@@ -41,7 +41,7 @@
             self.buffers.give_back(buffer);
         }
         if let Some(receipt) = client.receipt {
-            // A response that was cut off on its way has failed; else the client did not stay for it.
+            // The proxy or the endpoint may have aborted the response; otherwise the client disconnected.
             let outcome = if client.outcome == Some(RequestOutcome::Failed) {
                 RequestOutcome::Failed
             } else {
@@ -54,12 +54,12 @@
         }
     }
 
-    /// The client's connection ends in the middle of a response that is streamed to it.
+    /// Aborts a streamed response whose client connection is being closed.
     fn abort_response_stream(&mut self, client: &DownstreamConnection, source: ResponseSource) {
         if source.ends_at_close {
-            // A response cut short whose end is the connection's would look whole. A reset tells.
+            // The close delimits this response, so only a reset tells the client that it is truncated.
             if let Err(error) = SockRef::from(&client.stream).set_linger(Some(Duration::ZERO)) {
-                log::debug!("cannot reset a client's connection: {error}");
+                log::debug!("cannot set SO_LINGER to reset a client connection: {error}");
             }
         }
         if self.upstream.connections.get(source.upstream).is_some() {
@@ -69,7 +69,7 @@
         }
     }
 
-    /// Discards what a lingering client sends; whether there may be more at once.
+    /// Discards input on a lingering connection. Returns whether more may be readable now.
     pub(super) fn discard_input(&mut self, key: DownstreamKey) -> bool {
         let Some(client) = self.downstream.table.get_mut(key) else {
             return false;
@@ -77,7 +77,7 @@
         let ConnectionState::Lingering(lingering) = &mut client.state else {
             return false;
         };
-        // A client that goes on sending at full speed would keep the event loop for itself.
+        // Keeps a client that sends continuously from monopolizing the event loop.
         if lingering.limit_reached() {
             return false;
         }
@@ -95,8 +95,8 @@
         }
     }
 
-    /// A client has lingered for a while: one whose body still comes may go on, or it would not read its
-    /// response.
+    /// Closes a lingering connection, unless the client is still sending its request body: it may read the response
+    /// only after that.
     pub(super) fn linger_timeout_expired(&mut self, key: DownstreamKey) {
         let now_ms = self.clock.now();
         let Some(client) = self.downstream.table.get_mut(key) else {
--- a/proxy/src/downstream/connection.rs
+++ b/proxy/src/downstream/connection.rs
@@ -1,4 +1,4 @@
-//! One client's connection: its states, and the transitions between them.
+//! The state machine of a client connection.
 
 use super::request_head::RequestKind;
 use super::{MAX_LINGER_BYTES, REQUEST_TIMEOUT_MS};
@@ -10,33 +10,34 @@
 use crankmux::types::RequestId;
 use mio::net::TcpStream;
 
-/// Beyond the first `REQUEST_TIMEOUT_MS` a body keeps this pace: a quarter of the slowest that is promised.
+/// Minimum rate of a request body after the first `REQUEST_TIMEOUT_MS`: a quarter of the lowest rate that the proxy
+/// guarantees to serve.
 const MIN_BODY_BYTES_PER_MS: f64 = 16.0;
 
-/// What a connection is doing.
+/// State of a connection.
 ///
 /// | from | by | to |
 /// | --- | --- | --- |
 /// | `Idle` | `begin_request` | `ReadingRequest` |
 /// | `ReadingRequest` | `await_response` | `AwaitingResponse` |
-/// | `AwaitingResponse` | `stop_awaiting_response`, as it is answered or rejected | `ReadingRequest` |
+/// | `AwaitingResponse` | `stop_awaiting_response`, when it is answered or rejected | `ReadingRequest` |
 /// | `AwaitingResponse` | `stream_response_from` | `StartingResponse` |
 /// | `Idle`, `ReadingRequest`, `StartingResponse` | `begin_response` | `WritingResponse` |
-/// | `WritingResponse` | `end_response` | `Idle`, or `ReadingRequest` where the next one has begun |
-/// | `Idle` | `linger`, as the connection may carry no other request | `Lingering` |
+/// | `WritingResponse` | `end_response` | `Idle`, or `ReadingRequest` if the next request has begun |
+/// | `Idle` | `linger`, if the connection must not be reused | `Lingering` |
 pub(super) enum ConnectionState {
-    /// Nothing of the next request has come.
+    /// No byte of the next request has been received.
     Idle,
-    /// Something of a request has come, be it a blank line; it is not admitted yet.
+    /// Part of a request, possibly only a blank line, has been received; the request is not admitted yet.
     ReadingRequest,
-    /// The request was admitted under this id. Its body may still be streaming to an endpoint.
+    /// The request was admitted with this id. Its body may still be streaming to an endpoint.
     AwaitingResponse(RequestId),
-    /// The response will be streamed from an upstream connection; its head is about to be composed.
+    /// A response will be streamed from an upstream connection; its head is not written yet.
     StartingResponse(ResponseSource),
     /// A response is being written.
     WritingResponse(ResponseWriter),
-    /// The last response is out. What still comes is discarded until the client closes: closing with bytes
-    /// unread would reset the connection, and the response would be lost.
+    /// The last response has been written. Input is discarded until the client closes, as closing with unread input
+    /// would reset the connection and could lose the response.
     Lingering(Lingering),
 }
 
@@ -44,61 +45,60 @@
 #[derive(Clone, Copy)]
 pub(super) struct ResponseSource {
     pub(super) upstream: UpstreamKey,
-    /// Only the end of the client's connection tells where the response ends.
+    /// The response has no other delimiter than the close of the client connection.
     pub(super) ends_at_close: bool,
 }
 
-/// A response on its way to the client.
+/// A response that is being written to the client.
 pub(super) struct ResponseWriter {
     pub(super) buffer: Buffer,
     /// Bytes of the buffer that have been written.
     pub(super) written: usize,
-    /// Where more of the response comes from, as long as it does.
+    /// Where the rest of the response comes from; none once all of it is in the buffer.
     pub(super) source: Option<ResponseSource>,
 }
 
 impl ResponseWriter {
-    /// Whether the client has taken all that stands in the buffer.
+    /// Whether the whole buffer has been written.
     pub(super) fn is_drained(&self) -> bool {
         self.written == self.buffer.filled().len()
     }
 }
 
-/// What of a closing connection has been discarded.
+/// Progress of a lingering close.
 pub(super) struct Lingering {
     pub(super) discarded_bytes: usize,
-    /// The body of an admitted request was still coming as it was answered. Its client may go on for longer, as
-    /// it would not read the response before.
+    /// An admitted request was answered before its body was complete. The client may read the response only after
+    /// sending the rest, so more input is discarded.
     pub(super) body_outstanding: bool,
 }
 
 impl Lingering {
-    /// Whether no more of it is read. What the client sends past this stays with its own machine until the
-    /// connection is closed.
+    /// Whether no more input is discarded. Further input stays in the socket buffers until the connection closes.
     pub(super) fn limit_reached(&self) -> bool {
-        let most = if self.body_outstanding {
+        let limit = if self.body_outstanding {
             MAX_BODY_BYTES
         } else {
             MAX_LINGER_BYTES
         };
-        self.discarded_bytes >= most
+        self.discarded_bytes >= limit
     }
 }
 
-/// What becomes of the connection once its response is out.
+/// What happens to the connection after the response.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(super) enum AfterResponse {
-    /// It may carry another request.
+    /// The connection is kept open for another request.
     KeepAlive,
-    /// It is closed. Its client asked for something whole and nothing more is expected, so it does not linger
-    /// unless something more has come.
+    /// The connection is closed, without lingering unless more input has arrived: the request was complete and none
+    /// is expected after it.
     Close,
-    /// It lingers and is closed.
+    /// The connection is closed after lingering.
     Linger { body_outstanding: bool },
 }
 
 impl AfterResponse {
-    /// No other request may come on the connection.
+    /// Turns `KeepAlive` into a lingering close.
     pub(super) fn require_close(&mut self) {
         if *self == AfterResponse::KeepAlive {
             *self = AfterResponse::Linger {
@@ -107,49 +107,48 @@
         }
     }
 
-    /// Whether the connection is closed after the response.
     pub(super) fn closes(self) -> bool {
         self != AfterResponse::KeepAlive
     }
 }
 
-/// A request whose head has been received and accepted.
+/// A request whose head has been received and validated.
 pub(super) struct ReceivedRequest {
     pub(super) message: Message,
     pub(super) kind: RequestKind,
     /// The upstream connection to which its body is streamed.
     pub(super) upstream: Option<UpstreamKey>,
-    /// The first piece of its body has left the buffer: it cannot be sent to another endpoint any more.
+    /// The first piece of the body has left the buffer, so the request can no longer be retried.
     pub(super) first_piece_sent: bool,
-    /// Since when its body comes at the client's pace, and how many bytes have come since.
+    /// Start of the period over which the body's rate is measured. Waiting for the endpoint restarts it.
     pub(super) body_since_ms: f64,
+    /// Body bytes received since `body_since_ms`.
     pub(super) body_bytes: usize,
 }
 
-/// A client's connection.
+/// A client connection.
 pub(super) struct DownstreamConnection {
     pub(super) stream: TcpStream,
     pub(super) state: ConnectionState,
-    /// The request, from its first byte until it is answered, and what has come behind it.
+    /// The request, from its first byte until it is answered, and pipelined input after it.
     pub(super) read_buffer: Option<Buffer>,
     pub(super) request: Option<ReceivedRequest>,
-    /// Of its request, until the response is out.
+    /// Ties the current request to its access metrics until the response has been written.
     pub(super) receipt: Option<RequestReceipt>,
-    /// How its request is counted once the response is out.
+    /// Outcome recorded in the access metrics once the response has been written.
     pub(super) outcome: Option<RequestOutcome>,
     pub(super) after_response: AfterResponse,
-    /// When anything of a request last came, or of a response was last taken or ready to be.
+    /// When request bytes were last received, or response bytes last written or made available.
     pub(super) last_progress_ms: f64,
-    /// When it came, had its last response, or began a request.
+    /// When the connection was accepted, began its last request or finished its last response, whichever is latest.
     pub(super) idle_since_ms: f64,
     pub(super) responses_sent: u32,
-    /// The client has closed its side or reset the connection; bytes ahead of that may still be unread.
+    /// The client has closed its side or reset the connection; earlier bytes may still be unread.
     pub(super) peer_closed: bool,
     pub(super) timer: Option<TimerKey>,
 }
 
 impl DownstreamConnection {
-    /// A connection that has just been accepted.
     pub(super) fn new(stream: TcpStream, now_ms: f64) -> Self {
         DownstreamConnection {
             stream,
@@ -167,7 +166,7 @@
         }
     }
 
-    /// Something of a request has come; whether it is the first of it.
+    /// Records that request bytes were received. Returns whether they are the first of the request.
     pub(super) fn begin_request(&mut self, now_ms: f64) -> bool {
         if !matches!(self.state, ConnectionState::Idle) {
             return false;
@@ -177,7 +176,7 @@
         true
     }
 
-    /// The head of a request has been accepted.
+    /// Stores a request whose head is valid.
     pub(super) fn accept_head(&mut self, message: Message, kind: RequestKind, now_ms: f64) {
         self.last_progress_ms = now_ms;
         self.request = Some(ReceivedRequest {
@@ -190,19 +189,17 @@
         });
     }
 
-    /// The request was admitted and its response is awaited.
     pub(super) fn await_response(&mut self, request_id: RequestId) {
         self.state = ConnectionState::AwaitingResponse(request_id);
     }
 
-    /// The response is no longer awaited; the request whose it was.
+    /// Leaves `AwaitingResponse`. Returns the id of the request.
     pub(super) fn stop_awaiting_response(&mut self) -> Option<RequestId> {
         let request_id = self.awaited_request()?;
         self.state = ConnectionState::ReadingRequest;
         Some(request_id)
     }
 
-    /// The response will be streamed from an upstream connection.
     pub(super) fn stream_response_from(&mut self, source: ResponseSource) {
         self.state = ConnectionState::StartingResponse(source);
         if source.ends_at_close {
@@ -210,7 +207,7 @@
         }
     }
 
-    /// The start of a response, or all of it, is to be written.
+    /// Starts to write a response, of which `buffer` holds the start or all.
     pub(super) fn begin_response(&mut self, buffer: Buffer, now_ms: f64) {
         let source = self.response_source();
         self.last_progress_ms = now_ms;
@@ -221,15 +218,14 @@
         });
     }
 
-    /// No more of the response comes from upstream.
+    /// Records that all of the response is in the buffer.
     pub(super) fn end_response_source(&mut self) {
         if let ConnectionState::WritingResponse(writer) = &mut self.state {
             writer.source = None;
         }
     }
 
-    /// The response is out; the buffer that it was written from. What has come behind the request begins the
-    /// next one.
+    /// Ends a response that has been written, and returns its buffer. Pipelined input starts the next request.
     pub(super) fn end_response(&mut self) -> Option<Buffer> {
         let next = if self.read_buffer.is_some() {
             ConnectionState::ReadingRequest
@@ -242,7 +238,7 @@
         }
     }
 
-    /// From now on only the client's close is awaited.
+    /// Starts a lingering close.
     pub(super) fn linger(&mut self) {
         let body_outstanding = self.after_response
             == AfterResponse::Linger {
@@ -262,7 +258,6 @@
         }
     }
 
-    /// The response that is being written.
     pub(super) fn writer(&self) -> Option<&ResponseWriter> {
         match &self.state {
             ConnectionState::WritingResponse(writer) => Some(writer),
@@ -270,7 +265,6 @@
         }
     }
 
-    /// The response that is being written.
     pub(super) fn writer_mut(&mut self) -> Option<&mut ResponseWriter> {
         match &mut self.state {
             ConnectionState::WritingResponse(writer) => Some(writer),
@@ -278,7 +272,7 @@
         }
     }
 
-    /// Where the response is streamed from, as long as more of it comes.
+    /// Where the rest of the response comes from; none if it is not streamed or all of it is in the buffer.
     pub(super) fn response_source(&self) -> Option<ResponseSource> {
         match &self.state {
             ConnectionState::StartingResponse(source) => Some(*source),
@@ -287,14 +281,14 @@
         }
     }
 
-    /// A request's head is in, but its body is not complete.
+    /// Whether a request head has been received and its body is incomplete.
     pub(super) fn is_receiving_body(&self) -> bool {
         self.request
             .as_ref()
             .is_some_and(|request| !request.message.is_complete())
     }
 
-    /// By when more of its request's body must have come.
+    /// When the request body is too late: it has stalled, or its rate is below the minimum.
     pub(super) fn body_deadline_ms(&self) -> f64 {
         let stalled_at = self.last_progress_ms + REQUEST_TIMEOUT_MS;
         let Some(request) = &self.request else {
@@ -306,7 +300,7 @@
         stalled_at.min(too_slow_at)
     }
 
-    /// A request is in flight, or its response not out.
+    /// Whether a request is in flight or its response is being written.
     pub(super) fn is_busy(&self) -> bool {
         matches!(
             self.state,
@@ -316,12 +310,11 @@
         )
     }
 
-    /// Only the client's close is awaited.
     pub(super) fn is_lingering(&self) -> bool {
         matches!(self.state, ConnectionState::Lingering(_))
     }
 
-    /// It holds nothing of a request.
+    /// Whether the connection is between requests, with no input buffered.
     pub(super) fn is_idle(&self) -> bool {
         !self.is_busy() && self.read_buffer.is_none() && !self.is_lingering()
     }
--- a/proxy/src/downstream/connections.rs
+++ b/proxy/src/downstream/connections.rs
@@ -1,5 +1,5 @@
-//! The table of clients' connections, as other modules see it. Other modules name a connection by its key, which
-//! is free for another connection once this one is closed.
+//! The table of client connections and its interface to other modules, which refer to a connection by its key. A key
+//! may be reused once its connection is closed.
 
 use super::connection::DownstreamConnection;
 use crate::buffers::Buffer;
@@ -11,24 +11,23 @@
 use crate::timers::TimerKey;
 use mio::net::TcpListener;
 
-/// The connections of all clients, and the listener on which they come.
+/// All client connections, and their listener.
 pub struct DownstreamConnections {
     pub(super) listener: Option<TcpListener>,
-    /// Whether the event loop watches the listener.
+    /// Whether the listener is registered with the event loop.
     pub(super) listening: bool,
     pub(super) table: SlotTable<DownstreamKey, DownstreamConnection>,
     pub(super) capacity: usize,
-    /// Connections wait to be accepted.
+    /// Connections may be waiting to be accepted.
     pub(super) accept_pending: bool,
     pub(super) accept_retry: Option<TimerKey>,
-    /// Connections that were answered and may have more to say.
+    /// Connections on which a read or write may make progress.
     pub(super) ready: Vec<DownstreamKey>,
-    /// Connections whose client has just closed its side.
     closed_by_peer: Vec<DownstreamKey>,
 }
 
 impl DownstreamConnections {
-    /// No connections yet, and at most `capacity` at once.
+    /// An empty table for at most `capacity` connections.
     pub fn new(listener: TcpListener, capacity: usize) -> Self {
         DownstreamConnections {
             listener: Some(listener),
@@ -42,12 +41,12 @@
         }
     }
 
-    /// The listener, until the proxy takes no more clients.
+    /// The listener; none once it is closed.
     pub fn listener(&self) -> Option<&TcpListener> {
         self.listener.as_ref()
     }
 
-    /// Changes the capacity; connections beyond it stay until they are closed.
+    /// Changes the capacity; excess connections stay open until they end or are closed.
     pub fn set_capacity(&mut self, capacity: usize) {
         self.capacity = capacity;
         self.table.set_capacity(capacity);
@@ -63,7 +62,7 @@
         self.table.is_empty()
     }
 
-    /// Who of the clients holds descriptors.
+    /// How many descriptors busy and idle clients hold.
     pub fn descriptor_usage(&self, now_ms: f64) -> DescriptorUsage {
         let idle_ms = || {
             let idle = self.table.values().filter(|client| !client.is_busy());
@@ -78,12 +77,12 @@
         }
     }
 
-    /// Whether neither a connection nor the listener has something to be done at once.
+    /// Whether no connection is ready, and none can be accepted now.
     pub fn none_ready(&self) -> bool {
         self.ready.is_empty() && (self.table.is_full() || !self.accept_pending)
     }
 
-    /// Whether any client still has a response to come.
+    /// Whether any client has a request in flight or a response being written.
     pub fn any_busy(&self) -> bool {
         !self
             .table
@@ -91,28 +90,28 @@
             .is_empty()
     }
 
-    /// How many admitted requests have a body that is still coming.
+    /// How many admitted requests have an incomplete body.
     pub fn incomplete_requests(&self) -> usize {
         self.table
             .keys_where(|client| client.receipt.is_some() && client.is_receiving_body())
             .len()
     }
 
-    /// A client's request: the bytes that are held of it, and its message.
+    /// A client's request: its buffered bytes, and the message that describes them.
     pub fn request(&self, key: DownstreamKey) -> Option<(&[u8], &Message)> {
         let client = self.table.get(key)?;
         let bytes = client.read_buffer.as_ref()?.filled();
         Some((bytes, &client.request.as_ref()?.message))
     }
 
-    /// How a client's request is counted once its response is out.
+    /// Sets the outcome recorded in the access metrics once the response has been written.
     pub fn set_outcome(&mut self, key: DownstreamKey, outcome: RequestOutcome) {
         if let Some(client) = self.table.get_mut(key) {
             client.outcome = Some(outcome);
         }
     }
 
-    /// Whether a client's request showed that it knows chunked bodies.
+    /// Whether the client accepts chunked bodies, by the version of its request.
     pub fn accepts_chunked(&self, key: DownstreamKey) -> bool {
         self.table
             .get(key)
@@ -120,7 +119,7 @@
             .is_none_or(|request| request.message.accepts_chunked)
     }
 
-    /// A client's request body is streamed to an upstream connection from now on.
+    /// Records the upstream connection to which a client's request body is streamed.
     pub fn stream_request_to(&mut self, key: DownstreamKey, upstream: UpstreamKey) {
         let client = self.table.get_mut(key);
         if let Some(request) = client.and_then(|client| client.request.as_mut()) {
@@ -128,7 +127,7 @@
         }
     }
 
-    /// The request that a client is sending, for whoever streams its body.
+    /// Access to a request body that is being received, for streaming it.
     pub fn upload(&mut self, key: DownstreamKey) -> Option<Upload<'_>> {
         let client = self.table.get_mut(key)?;
         let read_buffer = client.read_buffer.as_mut()?;
@@ -143,7 +142,8 @@
         })
     }
 
-    /// Whether all of a client's request has come, read or not, where the request tells its length.
+    /// Whether all of a client's request has been received, counting bytes in the socket buffer. Always false for a
+    /// body of unknown length.
     pub fn whole_request_received(&self, key: DownstreamKey) -> bool {
         let Some(client) = self.table.get(key) else {
             return false;
@@ -151,7 +151,7 @@
         let (Some(buffer), Some(request)) = (&client.read_buffer, &client.request) else {
             return false;
         };
-        // Where the system does not say, what it may hold does not count.
+        // If the system call fails, only bytes read so far count.
         let unread = rustix::io::ioctl_fionread(&client.stream).unwrap_or(0) as usize;
         let message = &request.message;
         let undecoded = buffer.filled().len().saturating_sub(message.body_end);
@@ -161,8 +161,7 @@
             .is_some_and(|length| received >= length)
     }
 
-    /// The buffer that a client's response is written from, empty, if the client has taken all that stood in
-    /// it.
+    /// The emptied write buffer of a client's response, if everything in it has been written.
     pub fn drained_response_buffer(&mut self, key: DownstreamKey) -> Option<&mut Buffer> {
         let client = self.table.get_mut(key)?;
         let writer = client.writer_mut().filter(|writer| writer.is_drained())?;
@@ -171,7 +170,7 @@
         Some(&mut writer.buffer)
     }
 
-    /// Whether a client has taken all that stood to be written.
+    /// Whether all available bytes of a client's response have been written.
     pub fn has_drained_response(&self, key: DownstreamKey) -> bool {
         self.table
             .get(key)
@@ -179,21 +178,22 @@
             .is_none_or(|writer| writer.is_drained())
     }
 
-    /// A client has been given more of its response: its time to take it starts now, not as its endpoint paused.
+    /// Restarts the write timeout when more of a response becomes available, so that a pause of the endpoint does
+    /// not count against the client.
     pub fn restart_write_timeout(&mut self, key: DownstreamKey, now_ms: f64) {
         if let Some(client) = self.table.get_mut(key) {
             client.last_progress_ms = now_ms;
         }
     }
 
-    /// Nothing more of a client's response comes from upstream.
+    /// Records that all of a streamed response is in the client's write buffer.
     pub fn end_response_source(&mut self, key: DownstreamKey) {
         if let Some(client) = self.table.get_mut(key) {
             client.end_response_source();
         }
     }
 
-    /// A client has closed its side or reset the connection; what it sent before that may still be unread.
+    /// Records that a client has closed its side or reset the connection; earlier bytes may still be unread.
     pub fn mark_peer_closed(&mut self, key: DownstreamKey) {
         if let Some(client) = self.table.get_mut(key) {
             client.peer_closed = true;
@@ -201,12 +201,12 @@
         }
     }
 
-    /// The connections that were marked as closed since the last call.
+    /// Takes the connections marked as closed since the last call.
     pub fn take_peer_closed(&mut self) -> Vec<DownstreamKey> {
         std::mem::take(&mut self.closed_by_peer)
     }
 
-    /// A client may have more to say.
+    /// Has a connection served in this turn of the event loop.
     pub fn mark_ready(&mut self, key: DownstreamKey) {
         self.ready.push(key);
     }
--- a/proxy/src/downstream/eviction.rs
+++ b/proxy/src/downstream/eviction.rs
@@ -1,4 +1,4 @@
-//! Which clients' connections are closed to make room for others.
+//! Eviction of client connections to make room for others.
 
 use super::connection::DownstreamConnection;
 use super::{DownstreamConnections, NEW_CLIENT_GRACE_MS};
@@ -6,19 +6,19 @@
 use crate::slot_table::DownstreamKey;
 use crate::socket::is_silent;
 
-/// The share of all clients' connections that may stand idle after a response. Clients that ask once and stay
-/// use up what their side may open, and others, who would ask, find no connection left.
+/// Limit on idle connections that have had a response, as a share of the table's capacity. Clients behind a shared
+/// connection limit cannot open new connections while too many are idle.
 const MAX_IDLE_SHARE: f64 = 1.0 / 3.0;
-/// The same of those that have asked only once: clients with more to ask have mostly come back.
+/// The same limit for connections that have had one response: they are less likely to be reused.
 const MAX_IDLE_SHARE_AFTER_ONE: f64 = 1.0 / 8.0;
 
 impl DownstreamConnections {
-    /// The connection that is needed least: one that had its last response a while ago and only has to hang up;
-    /// one that has never ended a request; then the one longest without a response; at last any that only has to
-    /// hang up.
+    /// The connection to evict, the longest idle of the first non-empty group: lingering ones past the grace period,
+    /// those that have never had a response, all others that are not busy, and lingering ones within the grace
+    /// period.
     ///
-    /// Were idle ones always first, a new client would go before it could speak, and hundreds that say nothing
-    /// would push out those that do.
+    /// The grace period protects new clients. Connections without a response go before others, so that clients that
+    /// never send a request cannot displace active ones.
     fn eviction_candidate(&self, now_ms: f64) -> Option<DownstreamKey> {
         let is_evictable = |client: &DownstreamConnection| {
             !client.is_busy() && now_ms - client.idle_since_ms > NEW_CLIENT_GRACE_MS
@@ -39,8 +39,8 @@
 }
 
 impl Proxy {
-    /// Closes the connection that is needed least; whether there was one. What its client may have sent by now
-    /// counts as received, and is read first.
+    /// Evicts a client connection. Returns whether one was closed. Pending input is read first, as it may make the
+    /// connection busy.
     pub(super) fn evict_client(&mut self) -> bool {
         self.counters.capacity_exhausted += 1;
         while let Some(key) = self.downstream.eviction_candidate(self.clock.now()) {
@@ -54,8 +54,7 @@
         false
     }
 
-    /// Closes the connection that was idle longest; whether there was one. One that has just come is about to
-    /// speak.
+    /// Closes the connection that has been idle longest, outside the grace period. Returns whether there was one.
     pub fn close_idle_downstream(&mut self) -> bool {
         let now_ms = self.clock.now();
         let longest_idle_key = self.downstream.table.key_with_least(|client| {
@@ -70,8 +69,8 @@
         longest_idle_key.is_some()
     }
 
-    /// Closes connections between requests, once what their clients may have sent is read; those that have just
-    /// come only where `all` are to go: they are about to speak, and are told to close then.
+    /// Closes idle connections after reading their pending input. Those within the grace period are closed only if
+    /// `all` is set: their clients are likely to send a request, whose response then closes the connection.
     pub fn close_idle(&mut self, all: bool) {
         let now_ms = self.clock.now();
         for key in self.downstream.table.keys_where(|_| true) {
@@ -85,14 +84,14 @@
         }
     }
 
-    /// Closes the connections that had their response longest ago, where too many stand idle since theirs.
+    /// Closes the longest idle connections if more are idle than the shares allow.
     pub(super) fn close_excess_idle(&mut self) {
         let now_ms = self.clock.now();
         self.close_idle_over_share(MAX_IDLE_SHARE_AFTER_ONE, 1, now_ms);
         self.close_idle_over_share(MAX_IDLE_SHARE, u32::MAX, now_ms);
     }
 
-    /// The same for one share, of connections that had so many responses at most.
+    /// Limits the idle connections that have had at most `max_responses` responses to a share of the capacity.
     fn close_idle_over_share(&mut self, max_share: f64, max_responses: u32, now_ms: f64) {
         let mut idle = self.downstream.table.keys_where(|client| {
             (1..=max_responses).contains(&client.responses_sent)
@@ -107,7 +106,7 @@
         let idle_since_ms = |key: &DownstreamKey| self.downstream.table[*key].idle_since_ms;
         idle.sort_unstable_by(|left, right| idle_since_ms(left).total_cmp(&idle_since_ms(right)));
         for key in idle.into_iter().take(excess) {
-            // One that speaks up just now is heard.
+            // A request may have just arrived.
             if is_silent(&self.downstream.table[key].stream) {
                 self.close_downstream(key);
             }
--- a/proxy/src/downstream/mod.rs
+++ b/proxy/src/downstream/mod.rs
@@ -1,11 +1,11 @@
-//! Connections from clients: accepted, read, answered, timed out and closed.
+//! Client connections: accepting, reading requests, writing responses, timeouts and closing.
 //!
-//! - `connection`: one connection, its states and the transitions between them;
-//! - `connections`: the table of all of them, as other modules see it;
-//! - `accept`, `eviction`, `close`: how connections come, make room for others, and end;
-//! - `request_head`, `read_request`, `request_error`: requests, checked and admitted or rejected;
-//! - `write_response`: responses, written as far as the client takes them;
-//! - `timeouts`: clients that keep the proxy waiting.
+//! - `connection`: the state machine of one connection;
+//! - `connections`: the connection table and its interface to other modules;
+//! - `accept`, `eviction`, `close`: the life cycle of a connection;
+//! - `request_head`, `read_request`, `request_error`: parsing, validation and admission of requests;
+//! - `write_response`: non-blocking writes of responses;
+//! - `timeouts`: read and write timeouts.
 
 mod accept;
 mod close;
@@ -24,27 +24,28 @@
 use crate::proxy::Proxy;
 use crate::slot_table::DownstreamKey;
 
-/// The head of a new connection's first request, and of a later one from its first byte on, must be in within
-/// this, and a body may not stand still for so long: under the 3 s in which even a client that does not wait is
-/// owed an error or a close.
+/// Timeout for receiving a request head, counted from the accept for the first request of a connection and from
+/// the first byte for later ones. It is also the longest pause within a request body. Clients must get an error
+/// or a close within 3 s, so it has to be shorter than that.
 const REQUEST_TIMEOUT_MS: f64 = 2500.0;
-/// How long a connection that is being closed is still read, so that its last response is not lost.
+/// How long a closing connection is still read. Closing it with unread input would reset it, and the client could
+/// lose the last response.
 const LINGER_TIMEOUT_MS: f64 = 1000.0;
-/// How many bytes it is still read: more than a socket's buffer holds by the time that the response arrives.
+/// Limit on the input discarded from a closing connection: more than a socket buffer holds.
 const MAX_LINGER_BYTES: usize = 256 * 1024;
-/// A client that has connected, or begun a request, goes on at once: within the round trip, which is under
-/// this. Until then it makes no room for others.
+/// A connection is not evicted for this long after it was accepted, began a request or got a response. Longer
+/// than a round trip, so that the client's next bytes can arrive.
 const NEW_CLIENT_GRACE_MS: f64 = 100.0;
-/// How much is read at once of what is discarded.
+/// Size of a single read of input that is discarded.
 const DISCARD_BUFFER_BYTES: usize = 16 * 1024;
 
 impl Proxy {
-    /// Does for a client whatever can be done now.
+    /// Writes and reads a client connection until it would block.
     pub fn serve_client(&mut self, key: DownstreamKey) {
         while self.flush_response(key) && self.read_request(key) {}
     }
 
-    /// Goes on with clients that were answered, and accepts waiting ones where there is room again.
+    /// Serves the connections marked as ready, and accepts pending ones if the table has free slots.
     pub fn serve_ready_clients(&mut self) {
         while let Some(key) = self.downstream.ready.pop() {
             self.serve_client(key);
@@ -54,7 +55,7 @@
         }
     }
 
-    /// Sets the one timer of a client's connection, in place of the one that was set before.
+    /// Sets the timer of a client connection, replacing the previous one.
     fn set_downstream_timer(
         &mut self,
         key: DownstreamKey,
--- a/proxy/src/downstream/read_request.rs
+++ b/proxy/src/downstream/read_request.rs
@@ -1,4 +1,4 @@
-//! Reading from clients: a request's head is checked as soon as it is in, its body buffered or streamed.
+//! Reading requests: the head is validated as soon as it is complete, the body is buffered or streamed.
 
 use super::connection::{AfterResponse, ConnectionState};
 use super::request_head::{RequestHead, RequestKind};
@@ -12,7 +12,7 @@
 use std::io::{self, Read, Write};
 
 impl Proxy {
-    /// Reads what a client's connection waits for; whether there is more to do at once.
+    /// Reads a client connection according to its state. Returns whether there is more to do now.
     pub(super) fn read_request(&mut self, key: DownstreamKey) -> bool {
         let Some(client) = self.downstream.table.get_mut(key) else {
             return false;
@@ -23,18 +23,18 @@
                 self.read_while_awaiting_response(key);
                 false
             }
-            // Nothing is read until the response is out.
+            // Back pressure: nothing is read until the response has been written.
             ConnectionState::StartingResponse(_) | ConnectionState::WritingResponse(_) => false,
             ConnectionState::Lingering(_) => self.discard_input(key),
         }
     }
 
-    /// Reads towards the next request and handles it; whether there is more to do at once.
+    /// Reads and handles the next request. Returns whether there is more to do now.
     fn read_next_request(&mut self, key: DownstreamKey) -> bool {
         let client = &mut self.downstream.table[key];
         let read_buffer = client.read_buffer.take();
         let Some(mut buffer) = read_buffer.or_else(|| self.buffers.take()) else {
-            // The pool is empty. The client is rejected unread, and its retry is harmless.
+            // The pool is empty. The request is rejected unread, so retrying it is safe.
             self.counters.capacity_exhausted += 1;
             self.reject(key, RequestError::NoBuffer);
             return true;
@@ -48,8 +48,8 @@
             Ok(None) => self.receive(key, buffer),
             Err(error) => {
                 let status = error.status();
-                let start = log_excerpt(&buffer);
-                log::debug!("request rejected with {status}, {error}: {start}");
+                let excerpt = log_excerpt(&buffer);
+                log::debug!("request rejected with {status}, {error}: {excerpt}");
                 self.downstream.table[key].read_buffer = Some(buffer);
                 self.counters.invalid_requests += 1;
                 self.reject(key, error);
@@ -58,7 +58,7 @@
         }
     }
 
-    /// What is asked for, once the whole request is in, or more of it than is buffered.
+    /// Returns the kind of a request once it is complete, or too long to be buffered.
     fn parse_request(
         &mut self,
         key: DownstreamKey,
@@ -72,13 +72,13 @@
         };
         let message = &mut request.message;
         let complete = message.decode_body(buffer)?;
-        // One too long to be buffered whole is handled before its end.
+        // A body too long for the buffer is streamed, so it is handled before it is complete.
         let is_streamed = message.body_end - message.body_start > MAX_BUFFERED_BODY_BYTES;
         Ok((complete || is_streamed).then_some(request.kind))
     }
 
-    /// Parses and checks the head of a request; whether it is complete. What the head rules out is rejected
-    /// before the body has come.
+    /// Parses and validates a request head, so that invalid requests are rejected before their body arrives.
+    /// Returns whether the head is complete.
     fn parse_head(
         &mut self,
         key: DownstreamKey,
@@ -104,17 +104,17 @@
         let client = &mut self.downstream.table[key];
         client.accept_head(message, kind?, now_ms);
         if expects_continue {
-            // So short a line fits into an empty socket buffer; a failure shows as the connection is read.
+            // The line fits into an empty socket buffer; a connection error is reported by the next read.
             let _ = client.stream.write(b"HTTP/1.1 100 Continue\r\n\r\n");
         }
         Ok(true)
     }
 
-    /// Receives more of a request; whether there is more to do at once.
+    /// Receives more of a request. Returns whether there is more to do now.
     fn receive(&mut self, key: DownstreamKey, mut buffer: Buffer) -> bool {
         let client = &mut self.downstream.table[key];
         let length_before = buffer.filled().len();
-        let filled = buffer.read_from(&mut client.stream);
+        let read_outcome = buffer.read_from(&mut client.stream);
         let received = buffer.filled().len() - length_before;
         if received > 0 {
             client.last_progress_ms = self.clock.now();
@@ -126,12 +126,12 @@
             self.buffers.give_back(buffer);
         } else {
             client.read_buffer = Some(buffer);
-            // A new connection's time has run since it came.
+            // For the first request, the timeout has run since the connection was accepted.
             if client.begin_request(self.clock.now()) && client.responses_sent > 0 {
                 self.set_read_timeout(key, REQUEST_TIMEOUT_MS);
             }
         }
-        match filled {
+        match read_outcome {
             ReadOutcome::Received => true,
             ReadOutcome::WouldBlock => false,
             ReadOutcome::Closed | ReadOutcome::Failed => {
@@ -146,7 +146,7 @@
         }
     }
 
-    /// Handles a request that is in, or whose body is long.
+    /// Handles a request that is complete, or whose body is to be streamed.
     fn handle_request(&mut self, key: DownstreamKey, kind: RequestKind) {
         let client = &mut self.downstream.table[key];
         self.timers.cancel(client.timer.take());
@@ -154,7 +154,7 @@
             .request
             .as_ref()
             .is_some_and(|request| request.message.keep_alive);
-        // Health checks that kept their connection, a thousand a second, would leave no room for requests.
+        // Frequent health checks with kept-alive connections would fill the connection table.
         client.after_response = if keep_alive && !matches!(kind, RequestKind::HealthCheck) {
             AfterResponse::KeepAlive
         } else {
@@ -185,7 +185,7 @@
         }
     }
 
-    /// Admits a request, which may be answered in the course of it.
+    /// Admits a request. It may be answered before this returns.
     fn admit_request(&mut self, key: DownstreamKey, request: NewRequest, id_hash: u64) {
         let request_id = self.admit(key, request, id_hash);
         if !self.requests.waits(request_id) {
@@ -200,15 +200,15 @@
         }
     }
 
-    /// Hears a client whose response is awaited: it may have left, or go on with its body.
+    /// Reads a client whose response is awaited, for more of its body, pipelined requests or a close.
     fn read_while_awaiting_response(&mut self, key: DownstreamKey) {
         let client = &self.downstream.table[key];
         if client.peer_closed {
-            // The request of a client that has left would be retried on one endpoint after another.
+            // Ends the request, which would otherwise be retried for a client that has disconnected.
             return self.close_downstream(key);
         }
         if client.is_receiving_body() {
-            // Whoever its body is streamed to reads on.
+            // The upstream connection that the body is streamed to reads it.
             let upstream = client.request.as_ref().and_then(|request| request.upstream);
             self.writable_upstream.extend(upstream);
             return;
@@ -216,13 +216,13 @@
         self.read_pipelined(key);
     }
 
-    /// Reads what comes behind a request; it waits for the response. The client's close shows only once all
-    /// bytes before it are read, and a client that sends much at once and goes would never be seen to go.
+    /// Reads pipelined input while a response is awaited. It is discarded if it cannot be buffered, as the client's
+    /// close is detected only after all input before it has been read.
     fn read_pipelined(&mut self, key: DownstreamKey) {
         let client = &mut self.downstream.table[key];
         let mut discarded = 0;
         let mut discard_buffer = [0; DISCARD_BUFFER_BYTES];
-        // A client that goes on sending at full speed would keep the event loop for itself.
+        // Keeps a client that sends continuously from monopolizing the event loop.
         while discarded < MAX_BUFFERED_BODY_BYTES {
             let keep_alive_after = !client.after_response.closes();
             let buffer = client.read_buffer.as_mut().filter(|_| keep_alive_after);
@@ -232,7 +232,7 @@
                 ReadOutcome::Received => {}
                 ReadOutcome::WouldBlock => return,
                 ReadOutcome::Closed | ReadOutcome::Failed => return self.close_downstream(key),
-                // It cannot be kept, so nothing behind this request is answered: the connection goes with it.
+                // Pipelined requests are lost once input is discarded, so the connection closes after the response.
                 ReadOutcome::BufferFull => match client.stream.read(&mut discard_buffer) {
                     Ok(read @ 1..) => {
                         client.after_response = AfterResponse::Linger {
@@ -252,7 +252,8 @@
     }
 }
 
-/// Line ends left over behind the last request would be taken for a request that never ends.
+/// Removes empty lines before a request (RFC 9112, section 2.2). They would count as the start of a request and run
+/// into its timeout.
 fn remove_blank_lines(buffer: &mut Buffer) {
     let blank = buffer
         .filled()
--- a/proxy/src/downstream/request_error.rs
+++ b/proxy/src/downstream/request_error.rs
@@ -1,49 +1,49 @@
-//! Why a request is rejected before it is forwarded.
+//! Errors for which the proxy rejects a request.
 
 use crate::http::{status, ParseError};
 use thiserror::Error;
 
-/// Why a request is rejected before it is forwarded, or while its body still comes.
+/// Why a request is rejected, before it is forwarded or while its body is streamed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum RequestError {
-    /// It is not a message that the proxy reads.
+    /// The message is malformed, or uses a feature that the proxy does not support.
     #[error(transparent)]
     Parse(#[from] ParseError),
-    /// Responses to this method have no body, whatever their head says of its length.
+    /// The method is `HEAD` or `CONNECT`, whose responses are framed differently and are not supported.
     #[error("method not allowed")]
     MethodNotAllowed,
-    /// A header that may stand once stands more than once: two readers may take different ones.
+    /// A header that must be unique is repeated; recipients could disagree on its value.
     #[error("repeated header {0}")]
     RepeatedHeader(&'static str),
     /// A required header is missing or empty.
     #[error("missing header {0}")]
     MissingHeader(&'static str),
-    /// The path does not begin with the request class that the header names.
-    #[error("the path is not of the request class")]
+    /// The first path segment is not the request class in the header.
+    #[error("path does not start with the request class")]
     ClassNotInPath,
-    /// No request class of this name has ever been configured.
+    /// No request class of this name has been configured.
     #[error("unknown request class")]
     UnknownClass,
-    /// The request class was configured once, and is not any more.
+    /// The request class was removed from the configuration.
     #[error("request class no longer configured")]
     RetiredClass,
-    /// `X-Timeout` is no number of seconds, or out of range.
+    /// `X-Timeout` is not a number of seconds, or out of range.
     #[error("invalid X-Timeout")]
     InvalidTimeout,
-    /// A request with the same id is in flight; one of the two clients would get the other's response.
-    #[error("request id in flight")]
+    /// Another request with the same id is in flight; the two could not be told apart.
+    #[error("request id already in flight")]
     DuplicateRequestId,
-    /// It did not come whole in time.
+    /// The request was not complete in time.
     #[error("request timeout")]
     Timeout,
-    /// It fills its buffer and is not whole.
+    /// The request does not fit into its buffer.
     #[error("request too long")]
     TooLong,
-    /// A piece of its body cannot be decoded within a buffer.
-    #[error("undecodable body")]
+    /// A piece of a streamed body cannot be decoded within one buffer.
+    #[error("body cannot be decoded within one buffer")]
     UndecodableBody,
-    /// No buffer is left to read it into.
-    #[error("no buffer left")]
+    /// The buffer pool is exhausted.
+    #[error("no buffer available")]
     NoBuffer,
 }
 
--- a/proxy/src/downstream/request_head.rs
+++ b/proxy/src/downstream/request_head.rs
@@ -1,4 +1,4 @@
-//! What a request's head asks for, checked before its body has come.
+//! Validation and classification of request heads.
 
 use super::RequestError;
 use crate::endpoint_list::stable_hash;
@@ -8,9 +8,9 @@
 use crankmux::types::{ClassId, NewRequest, RequestId};
 use httparse::Header;
 
-/// Longer than any client waits, in seconds: a timeout past it is a mistake.
+/// Largest valid `X-Timeout`, in seconds.
 const MAX_TIMEOUT_S: f64 = 3600.0;
-/// The path of the front's health checks.
+/// Path of the load balancer's health checks.
 const HEALTH_CHECK_PATH: &str = "/_health";
 
 const REQUEST_ID: &str = "X-Request-ID";
@@ -19,18 +19,18 @@
 const TENANT_ID: &str = "X-Tenant-Id";
 const RETRIED: &str = "X-Retried";
 
-/// What a request asks for.
+/// Kind of a valid request.
 #[derive(Clone, Copy)]
 pub(super) enum RequestKind {
     /// A health check of the proxy.
     HealthCheck,
     /// A request to be forwarded, with the hash of its id.
     Forwarded(NewRequest, u64),
-    /// A request of a class that was configured once: rejected, but counted for the class.
+    /// A request of a class that is no longer configured: rejected, but counted for the class.
     RetiredClass(ClassId),
 }
 
-/// A request's head, with what it is checked against.
+/// A parsed request head.
 pub(super) struct RequestHead<'a, 'h> {
     pub(super) method: &'a str,
     pub(super) target: &'a str,
@@ -38,14 +38,14 @@
 }
 
 impl<'h> RequestHead<'_, 'h> {
-    /// Whether the client waits for `100 Continue` before it sends the body.
+    /// Whether the client expects `100 Continue` before it sends the body.
     pub(super) fn expects_continue(&self) -> bool {
         header_value(self.headers, "expect")
             .is_some_and(|value| value.eq_ignore_ascii_case("100-continue"))
     }
 
-    /// Checks the head, and tells what it asks for. `key_header` is the header that names the request's key, if
-    /// one is configured.
+    /// Validates the head and determines the kind of the request. `key_header` is the header that carries the
+    /// affinity key, if one is configured.
     pub(super) fn classify(
         &self,
         names: &NameIndex,
@@ -65,7 +65,7 @@
             return Err(RequestError::ClassNotInPath);
         }
         let Some(class) = names.class(class_name) else {
-            // Clients that have not heard of the new configuration yet; their failures are counted.
+            // Clients may still use a class that a reload has removed; their failures are counted.
             let all_classes = &names.classes.names;
             let retired = all_classes.iter().position(|name| name == class_name);
             return retired
@@ -79,12 +79,12 @@
         }
         let tenant = tenant_name.and_then(|name| names.tenant(name));
         let client_retry = self.header(RETRIED) == Some("1");
-        // All proxies come to the same hash, so that a key's endpoints are the same for all.
+        // The hash is the same in all proxies, so they choose the same endpoints for a key.
         let key = key_header
             .and_then(|name| self.header(name))
             .map(stable_hash);
         let request = NewRequest {
-            // Not known until the request is admitted.
+            // Assigned when the request is admitted.
             request: RequestId::default(),
             class,
             tenant,
@@ -95,7 +95,7 @@
         Ok(RequestKind::Forwarded(request, id_hash))
     }
 
-    /// The value of a header that is there and not empty.
+    /// The value of a header; none if it is missing or empty.
     fn header(&self, name: &str) -> Option<&'h str> {
         header_value(self.headers, name).filter(|value| !value.is_empty())
     }
@@ -104,7 +104,7 @@
         self.header(name).ok_or(RequestError::MissingHeader(name))
     }
 
-    /// Two headers of one name are read in two ways by two readers.
+    /// Rejects repeated headers, as recipients could disagree on their value.
     fn reject_repeated_headers(&self) -> Result<(), RequestError> {
         for name in [REQUEST_ID, PRIORITY_CLASS, TIMEOUT] {
             let same_name = |header: &&Header| header.name.eq_ignore_ascii_case(name);
--- a/proxy/src/downstream/timeouts.rs
+++ b/proxy/src/downstream/timeouts.rs
@@ -1,21 +1,21 @@
-//! Clients that keep the proxy waiting: for a request, for the rest of one, or for a response to be taken.
+//! Timeouts of client connections: idle, slow or stalled requests, and stalled responses.
 
 use super::RequestError;
 use crate::proxy::Proxy;
 use crate::slot_table::DownstreamKey;
 use crate::streaming::STALL_TIMEOUT_MS;
 
-/// A body whose time ends within this is late already: no timer is set for so little.
+/// A body deadline closer than this counts as expired, to avoid timers of negligible length.
 const MIN_BODY_WAIT_MS: f64 = 1.0;
 
 impl Proxy {
-    /// From now on nothing but a whole request may keep the connection for longer than this.
+    /// Sets the time within which a complete request must be received.
     pub(super) fn set_read_timeout(&mut self, key: DownstreamKey, wait_ms: f64) {
         let at_ms = self.clock.now() + wait_ms;
         self.set_downstream_timer(key, at_ms, Proxy::read_timeout_expired);
     }
 
-    /// A client has kept the proxy waiting for as long as it may; what it has sent by now is read first.
+    /// Rejects an incomplete request, or closes an idle connection, after reading pending input.
     fn read_timeout_expired(&mut self, key: DownstreamKey) {
         if let Some(client) = self.downstream.table.get_mut(key) {
             client.timer = None;
@@ -37,7 +37,7 @@
             return;
         }
         if client.read_buffer.is_some() {
-            // A client that sends a byte now and then would hold a buffer for ever.
+            // A client that sends single bytes at intervals would otherwise hold a buffer forever.
             self.counters.invalid_requests += 1;
             self.reject(key, RequestError::Timeout);
         } else {
@@ -45,8 +45,8 @@
         }
     }
 
-    /// The same for a client whose body is coming: it goes on while it keeps pace, and where its request was
-    /// admitted it is closed if not. Whether that settles it.
+    /// Handles the read timeout while a body is being received: extends it while the body meets its deadline, and
+    /// otherwise closes the connection if the request was admitted. Returns whether the timeout is handled.
     fn body_timeout_expired(&mut self, key: DownstreamKey) -> bool {
         let now_ms = self.clock.now();
         let Some(client) = self.downstream.table.get_mut(key) else {
@@ -55,7 +55,7 @@
         let admitted = client.awaited_request().is_some();
         if let Some(request) = client.request.as_mut().filter(|_| admitted) {
             if !self.upstream.awaits_request_body(request.upstream, key) {
-                // The time that its endpoint takes is not held against the client.
+                // The endpoint is behind, so the client's rate is measured anew.
                 request.body_since_ms = now_ms;
                 request.body_bytes = 0;
                 client.last_progress_ms = now_ms;
@@ -73,7 +73,7 @@
         admitted
     }
 
-    /// The time in which a client must take something of its response.
+    /// Sets the time within which some of the response must be written, counted from `since_ms`.
     pub(super) fn set_write_timeout(&mut self, key: DownstreamKey, since_ms: f64) {
         self.set_downstream_timer(
             key,
@@ -82,7 +82,7 @@
         );
     }
 
-    /// Whether a client takes its response at all.
+    /// Closes the connection if no response bytes could be written for the whole timeout.
     fn write_timeout_expired(&mut self, key: DownstreamKey) {
         let now_ms = self.clock.now();
         let has_drained = self.downstream.has_drained_response(key);
@@ -94,14 +94,13 @@
         }
         client.timer = None;
         if has_drained {
-            // It is the endpoint's turn.
+            // The endpoint has not sent more, so the client is not late.
             client.last_progress_ms = now_ms;
         }
         let last_progress_ms = client.last_progress_ms;
         if now_ms - last_progress_ms >= STALL_TIMEOUT_MS {
-            // A client that does not read its response would hold a buffer for ever.
             self.counters.clients_stalled += 1;
-            log::info!("a client took nothing of its response for {STALL_TIMEOUT_MS} ms");
+            log::info!("client read nothing of its response for {STALL_TIMEOUT_MS} ms; closing the connection");
             return self.close_downstream(key);
         }
         self.set_write_timeout(key, last_progress_ms);
--- a/proxy/src/downstream/write_response.rs
+++ b/proxy/src/downstream/write_response.rs
@@ -1,4 +1,4 @@
-//! Writing to clients: responses as far as their sockets take them, and what becomes of the connection after.
+//! Writing responses to clients, and closing or reusing the connection afterwards.
 
 use super::connection::{AfterResponse, ConnectionState, ResponseSource};
 use super::{RequestError, LINGER_TIMEOUT_MS, REQUEST_TIMEOUT_MS};
@@ -10,12 +10,11 @@
 use crate::socket::{has_unread_data, is_silent};
 use std::net::Shutdown;
 
-/// How long a connection stays on which no request follows the last response: longer than clients pause
-/// between two requests while they have work.
+/// How long a connection is kept open between requests.
 const CLIENT_IDLE_TIMEOUT_MS: f64 = 2000.0;
 
 impl Proxy {
-    /// Writes what is left of a response; whether the connection may be read.
+    /// Writes buffered response bytes. Returns whether the connection may be read.
     pub fn flush_response(&mut self, key: DownstreamKey) -> bool {
         let Some(client) = self.downstream.table.get_mut(key) else {
             return false;
@@ -38,28 +37,28 @@
             Ok(true) => self.finish_response(key),
             Ok(false) => false,
             Err(error) => {
-                log::debug!("a client left in the middle of its response: {error}");
+                log::debug!("client disconnected before its response was complete: {error}");
                 self.close_downstream(key);
                 false
             }
         }
     }
 
-    /// A client has taken all that there is of a response that is streamed, which makes room for the next piece.
-    /// Nothing else but its close is of interest.
+    /// Requests the next piece of a streamed response from its endpoint, unless the client has disconnected.
     fn request_next_response_piece(&mut self, key: DownstreamKey) {
         let client = &self.downstream.table[key];
         let client_disconnected =
             client.peer_closed || !(is_silent(&client.stream) || has_unread_data(&client.stream));
         if client_disconnected {
-            log::debug!("a client left in the middle of its response");
+            log::debug!("client disconnected before its response was complete");
             return self.close_downstream(key);
         }
         let upstream = client.response_source().map(|source| source.upstream);
         self.writable_upstream.extend(upstream);
     }
 
-    /// A response is out; whether the connection may be read.
+    /// Ends a response that has been written, and closes or reuses the connection. Returns whether the connection may
+    /// be read.
     fn finish_response(&mut self, key: DownstreamKey) -> bool {
         let client = &mut self.downstream.table[key];
         let buffer = client.end_response();
@@ -81,7 +80,7 @@
         }
         if client.after_response.closes() {
             client.linger();
-            // It fails where the client has reset the connection, which shows as it is read.
+            // Fails if the client has reset the connection, which the next read reports.
             let _ = client.stream.shutdown(Shutdown::Write);
             let at_ms = client.idle_since_ms + LINGER_TIMEOUT_MS;
             self.set_downstream_timer(key, at_ms, Proxy::linger_timeout_expired);
@@ -98,8 +97,7 @@
         true
     }
 
-    /// Rejects a request of which part has been streamed to an endpoint: the attempt is cancelled before its
-    /// last byte.
+    /// Rejects a request of which part has been streamed to an endpoint, and cancels the attempt.
     pub fn reject_upload(&mut self, key: DownstreamKey, error: RequestError) {
         let client = self.downstream.table.get_mut(key);
         let request_id = client.and_then(|client| client.stop_awaiting_response());
@@ -109,7 +107,7 @@
         }
     }
 
-    /// Rejects what cannot be read on; the connection is closed after the response.
+    /// Rejects a request and closes the connection after the response, as the rest of the input cannot be parsed.
     pub(super) fn reject(&mut self, key: DownstreamKey, error: RequestError) {
         if let Some(client) = self.downstream.table.get_mut(key) {
             client.after_response = AfterResponse::Linger {
@@ -119,8 +117,7 @@
         }
     }
 
-    /// Answers a client with a response of the proxy's own, with a `Retry-After` where `retry_after_ms` is
-    /// positive.
+    /// Sends a response of the proxy's own, with `Retry-After` if `retry_after_ms` is positive.
     pub fn send_local_response(&mut self, key: DownstreamKey, status: u16, retry_after_ms: f64) {
         let outcome = if status == http::status::SERVICE_UNAVAILABLE {
             RequestOutcome::Rejected
@@ -133,7 +130,7 @@
         });
     }
 
-    /// Answers a client with an endpoint's whole response.
+    /// Sends an endpoint's response that has been buffered whole.
     pub fn send_buffered_response(&mut self, key: DownstreamKey, bytes: &[u8], message: &Message) {
         self.downstream.set_outcome(key, RequestOutcome::Succeeded);
         self.respond_with(key, |close, buffer| {
@@ -141,8 +138,8 @@
         });
     }
 
-    /// A client's response will be streamed from an upstream connection; `ends_at_close` where only the end of
-    /// the client's connection tells its end.
+    /// Records the upstream connection from which a response will be streamed. `ends_at_close` tells that the close of
+    /// the client connection delimits the response.
     pub fn set_response_source(
         &mut self,
         key: DownstreamKey,
@@ -157,8 +154,8 @@
         }
     }
 
-    /// Writes a response as far as it goes, and gives the request's buffer back. `compose` is told whether the
-    /// connection ends with the response, and returns whether the response fitted into the buffer.
+    /// Starts to write a response, and releases the request's buffer. `compose` is passed whether the connection
+    /// closes after the response, and returns whether the response fitted into the buffer.
     pub fn respond_with(
         &mut self,
         key: DownstreamKey,
@@ -175,14 +172,13 @@
         self.timers.cancel(client.timer.take());
         self.remove_request_from_buffer(key);
         let Some(mut buffer) = self.take_response_buffer(key) else {
-            // As many clients do not read, not even a response's buffer is left. This one is cut off.
-            log::warn!("no buffer for a response");
+            log::warn!("no buffer available for a response; closing the client connection");
             self.counters.capacity_exhausted += 1;
             return self.close_downstream(key);
         };
         let client = &mut self.downstream.table[key];
         if !compose(client.after_response.closes(), &mut buffer) {
-            // An endpoint's head that does not fit. The client must not take it for a response.
+            // The endpoint's response head does not fit; a truncated one must not be sent.
             self.buffers.give_back(buffer);
             return self.close_downstream(key);
         }
@@ -193,14 +189,14 @@
         self.downstream.ready.push(key);
     }
 
-    /// Removes a request from its buffer, and keeps what has come behind it for the next one.
+    /// Removes a request from its buffer, and keeps pipelined input for the next one.
     fn remove_request_from_buffer(&mut self, key: DownstreamKey) {
         let client = &mut self.downstream.table[key];
         let Some(mut buffer) = client.read_buffer.take() else {
             return;
         };
         if client.is_receiving_body() {
-            // What still comes of its body is discarded.
+            // The rest of the body is discarded.
             client.after_response = AfterResponse::Linger {
                 body_outstanding: client.receipt.is_some(),
             };
@@ -217,13 +213,12 @@
         }
     }
 
-    /// A buffer for a client's response.
+    /// A buffer for a response, from the reserve or from pipelined input.
     fn take_response_buffer(&mut self, key: DownstreamKey) -> Option<Buffer> {
         if let Some(buffer) = self.buffers.take_reserved() {
             return Some(buffer);
         }
-        // Requests behind the answered one may hold the last buffer, and its response would be lost. They come
-        // again.
+        // Pipelined requests are dropped for the response; the client can retry them on another connection.
         let client = &mut self.downstream.table[key];
         let pipelined = client.read_buffer.take()?;
         client.after_response = AfterResponse::Linger {
