--- a/proxy/src/downstream/write_response.rs
+++ b/proxy/src/downstream/write_response.rs
@@ -10,7 +10,7 @@
 use crate::socket::{has_unread_data, is_silent};
 use std::net::Shutdown;
 
-/// How long a connection is kept open between requests.
+/// How long a connection is kept open between requests: longer than active clients pause.
 const CLIENT_IDLE_TIMEOUT_MS: f64 = 2000.0;
 
 impl Proxy {
