--- a/proxy/src/downstream/close.rs
+++ b/proxy/src/downstream/close.rs
@@ -1,7 +1,7 @@
-//! How clients' connections end.
+//! Closing client connections.
 
 use super::connection::{ConnectionState, DownstreamConnection, ResponseSource};
-use super::{DISCARD_BYTES, LINGER_MS};
+use super::{DISCARD_BUFFER_BYTES, LINGER_TIMEOUT_MS};
 use crate::buffers::MAX_BODY_BYTES;
 use crate::metrics::access::RequestOutcome;
 use crate::proxy::Proxy;
@@ -12,8 +12,8 @@
 use std::time::Duration;
 
 impl Proxy {
-    /// Takes no more clients: those that wait are accepted and the listener is closed.
-    pub fn shut(&mut self) {
+    /// Accepts the pending connections, unless a newer process does, and closes the listener.
+    pub fn close_listener(&mut self) {
         if !self.upgrade.has_newer_process() {
             self.accept();
         }
@@ -21,15 +21,15 @@
         self.downstream.listener = None;
     }
 
-    /// Closes a connection: the one place where it and its buffers are given back.
-    pub fn drop_downstream(&mut self, key: DownstreamKey) {
+    /// Closes a connection and releases its slot, buffers and timer.
+    pub fn close_downstream(&mut self, key: DownstreamKey) {
         let Some(mut client) = self.downstream.table.remove(key) else {
             return;
         };
         if let Some(source) = client.response_source() {
             self.abort_response_stream(&client, source);
         }
-        // It was registered as it was accepted, which is all that this could fail for.
+        // Fails only if the socket is not registered; every accepted socket is.
         let _ = self.registry.deregister(&mut client.stream);
         self.timers.cancel(client.timer);
         let awaited_request = client.awaited_request();
@@ -41,7 +41,7 @@
             self.buffers.give_back(buffer);
         }
         if let Some(receipt) = client.receipt {
-            // A response that was cut off on its way has failed; else the client did not stay for it.
+            // The proxy or the endpoint may have aborted the response; otherwise the client disconnected.
             let outcome = if client.outcome == Some(RequestOutcome::Failed) {
                 RequestOutcome::Failed
             } else {
@@ -54,12 +54,12 @@
         }
     }
 
-    /// The client's connection ends in the middle of a response that is streamed to it.
+    /// Aborts a streamed response whose client connection is being closed.
     fn abort_response_stream(&mut self, client: &DownstreamConnection, source: ResponseSource) {
         if source.ends_at_close {
-            // A response cut short whose end is the connection's would look whole. A reset tells.
+            // The close delimits this response, so only a reset tells the client that it is truncated.
             if let Err(error) = SockRef::from(&client.stream).set_linger(Some(Duration::ZERO)) {
-                log::debug!("cannot reset a client's connection: {error}");
+                log::debug!("cannot set SO_LINGER to reset a client connection: {error}");
             }
         }
         if self.upstream.connections.get(source.upstream).is_some() {
@@ -69,7 +69,7 @@
         }
     }
 
-    /// Discards what a lingering client sends; whether there may be more at once.
+    /// Discards input on a lingering connection. Returns whether more may be readable now.
     pub(super) fn discard_input(&mut self, key: DownstreamKey) -> bool {
         let Some(client) = self.downstream.table.get_mut(key) else {
             return false;
@@ -77,11 +77,11 @@
         let ConnectionState::Lingering(lingering) = &mut client.state else {
             return false;
         };
-        // A client that goes on sending at full speed would keep the event loop for itself.
-        if lingering.is_spent() {
+        // Keeps a client that sends continuously from monopolizing the event loop.
+        if lingering.limit_reached() {
             return false;
         }
-        match client.stream.read(&mut [0; DISCARD_BYTES]) {
+        match client.stream.read(&mut [0; DISCARD_BUFFER_BYTES]) {
             Ok(read @ 1..) => {
                 lingering.discarded_bytes += read;
                 client.last_progress_ms = self.clock.now();
@@ -89,32 +89,36 @@
             }
             Err(error) if error.kind() == io::ErrorKind::WouldBlock => false,
             _ => {
-                self.drop_downstream(key);
+                self.close_downstream(key);
                 false
             }
         }
     }
 
-    /// A client has lingered for a while: one whose body still comes may go on, or it would not read its
-    /// response.
-    pub(super) fn linger_timeout(&mut self, key: DownstreamKey) {
+    /// Closes a lingering connection, unless the client is still sending its request body: it may read the response
+    /// only after that.
+    pub(super) fn linger_timeout_expired(&mut self, key: DownstreamKey) {
         let now_ms = self.clock.now();
         let Some(client) = self.downstream.table.get_mut(key) else {
             return;
         };
         client.timer = None;
-        let body_still_comes = match &client.state {
+        let still_receiving_body = match &client.state {
             ConnectionState::Lingering(lingering) => {
                 lingering.body_outstanding
-                    && now_ms - client.last_progress_ms < LINGER_MS
+                    && now_ms - client.last_progress_ms < LINGER_TIMEOUT_MS
                     && lingering.discarded_bytes < MAX_BODY_BYTES
             }
             _ => false,
         };
-        if body_still_comes {
-            self.set_downstream_timer(key, now_ms + LINGER_MS, Proxy::linger_timeout);
+        if still_receiving_body {
+            self.set_downstream_timer(
+                key,
+                now_ms + LINGER_TIMEOUT_MS,
+                Proxy::linger_timeout_expired,
+            );
         } else {
-            self.drop_downstream(key);
+            self.close_downstream(key);
         }
     }
 }
--- a/proxy/src/http/forward.rs
+++ b/proxy/src/http/forward.rs
@@ -1,12 +1,12 @@
-//! What of a message is forwarded, and how it is written.
+//! Rewriting messages for forwarding.
 
 use super::body::{write_body_piece, BodyFraming, Message};
 use super::head::{origin_form, parse_request, parse_response};
 use crate::buffers::{Buffer, MAX_BODY_BYTES};
 use httparse::Header;
 
-/// Headers that concern one connection only (RFC 9110, section 7.6.1), or that the proxy writes itself.
-const NOT_FORWARDED: [&str; 11] = [
+/// Hop-by-hop headers (RFC 9110, section 7.6.1), and headers that the proxy generates itself.
+const NOT_FORWARDED_HEADERS: [&str; 11] = [
     "connection",
     "keep-alive",
     "proxy-connection",
@@ -21,13 +21,13 @@
 ];
 
 fn is_forwarded(name: &str, excluded: &str) -> bool {
-    let not_forwarded = NOT_FORWARDED
+    let never_forwarded = NOT_FORWARDED_HEADERS
         .iter()
         .any(|other| name.eq_ignore_ascii_case(other));
-    !not_forwarded && !name.eq_ignore_ascii_case(excluded)
+    !never_forwarded && !name.eq_ignore_ascii_case(excluded)
 }
 
-/// Writes the headers that are forwarded, without `excluded`; whether they fitted.
+/// Writes the headers to be forwarded, without `excluded`. Returns whether they fitted.
 fn write_forwarded_headers(headers: &[Header], excluded: &str, buffer: &mut Buffer) -> bool {
     headers
         .iter()
@@ -40,9 +40,10 @@
         })
 }
 
-/// Writes a request as it is forwarded in an attempt of this timeout; whether it fitted.
+/// Writes a request as forwarded to an endpoint, with the attempt's timeout in `X-Timeout`. Returns whether it
+/// fitted.
 ///
-/// `bytes` hold the request as it was received, and `message` describes it.
+/// `bytes` is the request as received, and `message` describes it.
 pub fn write_request(
     bytes: &[u8],
     message: &Message,
@@ -60,14 +61,14 @@
         buffer.append(format!("{method} {} HTTP/1.1\r\n", origin_form(target)).as_bytes())
             && write_forwarded_headers(headers, "x-timeout", buffer)
             && buffer.append(format!("X-Timeout: {timeout_s:.3}\r\n").as_bytes())
-            && buffer.append(framing.last_head_lines().as_bytes())
+            && buffer.append(framing.framing_header_lines().as_bytes())
     });
     let head_fitted = matches!(head, Ok(Some((_, true))));
     let body = &bytes[message.body_start..message.body_end];
     head_fitted && write_body_piece(body, body_length.is_none(), buffer)
 }
 
-/// Writes an endpoint's whole response as it goes to the client; whether it fitted.
+/// Writes a complete response of an endpoint as forwarded to the client. Returns whether it fitted.
 pub fn write_response(bytes: &[u8], message: &Message, close: bool, buffer: &mut Buffer) -> bool {
     let length = message.body_end - message.body_start;
     write_response_start(
@@ -79,8 +80,8 @@
     )
 }
 
-/// Writes the start of an endpoint's response: its head, and what `bytes` hold of its body, which begins at
-/// `body_start`; whether it fitted.
+/// Writes the start of an endpoint's response as forwarded to the client: its head, and the part of its body in
+/// `bytes`, from `body_start` on. Returns whether it fitted.
 pub fn write_response_start(
     bytes: &[u8],
     body_start: usize,
@@ -93,7 +94,7 @@
         buffer.append(b"HTTP/1.1 200 OK\r\n")
             && write_forwarded_headers(headers, "x-server-load", buffer)
             && buffer.append(connection.as_bytes())
-            && buffer.append(framing.last_head_lines().as_bytes())
+            && buffer.append(framing.framing_header_lines().as_bytes())
     });
     let head_fitted = matches!(head, Ok(Some((_, true))));
     head_fitted
--- a/proxy/src/lifecycle/shutdown.rs
+++ b/proxy/src/lifecycle/shutdown.rs
@@ -46,7 +46,7 @@
             // remains for a late request.
             self.close_idle_at_ms = self.close_idle_at_ms.max(proxy.answer_by - 0.5 * longest);
             self.listener_closed = true;
-            proxy.shut();
+            proxy.close_listener();
         }
         self.close_listener_at_ms = (self.close_idle_at_ms + RETRY_GRACE_MS).min(proxy.answer_by);
         // These timers only wake the event loop.
@@ -70,7 +70,7 @@
         }
         if proxy.now() >= self.close_listener_at_ms && !self.listener_closed {
             self.listener_closed = true;
-            proxy.shut();
+            proxy.close_listener();
         }
         let is_past_deadline = proxy.now() >= proxy.answer_by;
         proxy.close_idle(is_past_deadline);
--- a/proxy/src/streaming/request.rs
+++ b/proxy/src/streaming/request.rs
@@ -1,5 +1,5 @@
-//! Requests too long for one buffer: the client is read only once the endpoint has taken the piece before, so that
-//! neither side's pace costs more than two buffers.
+//! Streaming of request bodies. The client is read only after the endpoint has taken the previous piece, so a request
+//! never needs more than two buffers.
 
 use crate::buffers::{Buffer, ReadOutcome};
 use crate::downstream::RequestError;
@@ -9,55 +9,57 @@
 use crate::upstream::{RequestState, StreamedRequest};
 use crankmux::types::{AttemptOutcome, LoadReport};
 
-/// What moving the next piece of a body has come to.
-enum PieceMoved {
-    /// A piece has moved or has been received, or the endpoint has taken the first one.
+/// Result of one step of streaming a request body.
+enum RequestStreamStep {
+    /// A piece was received or forwarded.
     Progress,
-    /// The last piece has moved.
+    /// The last piece is in the endpoint's write buffer.
     LastPiece,
-    /// The client has sent nothing more yet, or the endpoint takes no more.
+    /// Reading from the client or writing to the endpoint would block.
     Pending,
-    /// The client has left, and its connection is gone.
+    /// The client connection no longer exists.
     ClientGone,
-    /// The client has ended too early.
-    ClientEnded,
-    /// The body cannot be read.
+    /// The client closed its connection before the body was complete.
+    IncompleteBody,
+    /// The body cannot be decoded.
     Malformed(RequestError),
 }
 
-/// Moves the next piece of a body from its client to the buffer of the connection to the endpoint.
-fn move_next_piece(
+/// Moves the next piece of a body from the client to the write buffer of the endpoint connection.
+fn move_request_piece(
     upload: &mut Upload,
-    outbox: &mut Buffer,
+    write_buffer: &mut Buffer,
     chunked: bool,
     now: f64,
-) -> PieceMoved {
-    if let Err(error) = upload.message.advance(upload.inbox) {
-        return PieceMoved::Malformed(error.into());
+) -> RequestStreamStep {
+    if let Err(error) = upload.message.decode_body(upload.read_buffer) {
+        return RequestStreamStep::Malformed(error.into());
     }
-    upload.message.forward_body(upload.inbox, outbox, chunked);
+    upload
+        .message
+        .move_body(upload.read_buffer, write_buffer, chunked);
     if upload.message.is_complete() {
-        return PieceMoved::LastPiece;
+        return RequestStreamStep::LastPiece;
     }
-    if !outbox.filled().is_empty() {
-        return PieceMoved::Progress;
+    if !write_buffer.filled().is_empty() {
+        return RequestStreamStep::Progress;
     }
-    let held_before = upload.inbox.filled().len();
-    match upload.inbox.read_from(upload.stream) {
+    let length_before_read = upload.read_buffer.filled().len();
+    match upload.read_buffer.read_from(upload.stream) {
         ReadOutcome::Received => {
-            *upload.received_bytes += upload.inbox.filled().len() - held_before;
+            *upload.received_bytes += upload.read_buffer.filled().len() - length_before_read;
             *upload.last_received_at = now;
-            PieceMoved::Progress
+            RequestStreamStep::Progress
         }
-        ReadOutcome::WouldBlock => PieceMoved::Pending,
-        ReadOutcome::Closed | ReadOutcome::Failed => PieceMoved::ClientEnded,
-        ReadOutcome::BufferFull => PieceMoved::Malformed(RequestError::UndecodableBody),
+        ReadOutcome::WouldBlock => RequestStreamStep::Pending,
+        ReadOutcome::Closed | ReadOutcome::Failed => RequestStreamStep::IncompleteBody,
+        ReadOutcome::BufferFull => RequestStreamStep::Malformed(RequestError::UndecodableBody),
     }
 }
 
 impl Proxy {
-    /// Streams a request body on, as far as client and endpoint go. Returns whether the connection is still there:
-    /// a key given back may stand for the connection of the next attempt.
+    /// Streams a request body until either side would block. Returns whether the connection still exists; if not, its
+    /// key may already be reused for another attempt.
     pub(crate) fn stream_request_body(&mut self, key: UpstreamKey) -> bool {
         let now = self.now();
         loop {
@@ -71,19 +73,19 @@
                 return true;
             };
             match self.stream_request_piece(key, client, now) {
-                PieceMoved::Progress => {}
-                PieceMoved::LastPiece | PieceMoved::Pending => return true,
-                PieceMoved::ClientGone => {
-                    // The endpoint never had the request whole.
+                RequestStreamStep::Progress => {}
+                RequestStreamStep::LastPiece | RequestStreamStep::Pending => return true,
+                RequestStreamStep::ClientGone => {
+                    // The endpoint has not received the whole request.
                     self.fail_attempt(key, AttemptOutcome::Cancelled, LoadReport::default());
                     return false;
                 }
-                PieceMoved::ClientEnded => {
-                    self.drop_downstream(client);
+                RequestStreamStep::IncompleteBody => {
+                    self.close_downstream(client);
                     return false;
                 }
-                PieceMoved::Malformed(error) => {
-                    // The endpoint has half of the body and so never ran the request.
+                RequestStreamStep::Malformed(error) => {
+                    // The endpoint has only part of the body, so it cannot have processed the request.
                     self.counters.invalid_requests += 1;
                     self.reject_upload(client, error);
                     return false;
@@ -92,38 +94,38 @@
         }
     }
 
-    /// Writes the pending piece, and once the endpoint has taken it moves the next one up.
+    /// Writes the pending piece to the endpoint, then moves the next one into the write buffer.
     fn stream_request_piece(
         &mut self,
         key: UpstreamKey,
         client: DownstreamKey,
         now: f64,
-    ) -> PieceMoved {
+    ) -> RequestStreamStep {
         let connection = &mut self.upstream.connections[key];
         let Some((stream, attempt)) = connection.stream_and_attempt() else {
-            return PieceMoved::Pending;
+            return RequestStreamStep::Pending;
         };
         let RequestState::Streamed(StreamedRequest { chunked, .. }) = attempt.request_state else {
-            return PieceMoved::Pending;
+            return RequestStreamStep::Pending;
         };
         let request = attempt.request;
-        let Some(outbox) = attempt.write_piece(stream, now) else {
+        let Some(write_buffer) = attempt.write_piece(stream, now) else {
             self.request_write_blocked(key, client);
-            return PieceMoved::Pending;
+            return RequestStreamStep::Pending;
         };
         let Some(mut upload) = self.downstream.upload(client) else {
-            return PieceMoved::ClientGone;
+            return RequestStreamStep::ClientGone;
         };
-        if !std::mem::replace(upload.released, true) {
-            // The first piece is with the endpoint, and makes room for the next.
-            upload.message.release(upload.inbox);
+        if !std::mem::replace(upload.first_piece_sent, true) {
+            // The first piece has been written, so its bytes can be removed from the read buffer.
+            upload.message.consume(upload.read_buffer);
             if let Some(request) = request {
                 self.streaming_progress(request, key, false);
             }
-            return PieceMoved::Progress;
+            return RequestStreamStep::Progress;
         }
-        let moved = move_next_piece(&mut upload, outbox, chunked, now);
-        if matches!(moved, PieceMoved::LastPiece) {
+        let moved = move_request_piece(&mut upload, write_buffer, chunked, now);
+        if matches!(moved, RequestStreamStep::LastPiece) {
             attempt.finish_request_source();
         }
         moved
--- a/proxy/src/upstream/attempt.rs
+++ b/proxy/src/upstream/attempt.rs
@@ -209,12 +209,12 @@
     /// Parses the received bytes; returns whether the response is complete.
     pub(super) fn read_response(&mut self, read_buffer: &mut Buffer) -> Result<bool, ParseError> {
         if let Some(response) = self.response_state.response_mut() {
-            return response.message.advance(read_buffer);
+            return response.message.decode_body(read_buffer);
         }
         let Some(mut response) = parse_response(read_buffer)? else {
             return Ok(false);
         };
-        let is_complete = response.message.advance(read_buffer);
+        let is_complete = response.message.decode_body(read_buffer);
         self.response_state = ResponseState::Buffering {
             response,
             buffering_since: None,
--- a/proxy/src/upstream/connection_pool.rs
+++ b/proxy/src/upstream/connection_pool.rs
@@ -271,7 +271,7 @@
             .and_then(|attempt| attempt.response_target())
         {
             // The client must be able to detect the truncated response.
-            self.drop_downstream(client);
+            self.close_downstream(client);
         }
         if let Err(error) = self.registry.deregister(&mut connection.stream) {
             log::debug!("cannot deregister a connection to an endpoint: {error}");
