--- a/proxy/src/admin/handlers.rs
+++ b/proxy/src/admin/handlers.rs
@@ -1,12 +1,12 @@
-//! Carries out the requests of the admin API.
+//! Executes admin API requests.
 
 use super::request::AdminRequest;
 use super::response::AdminResponse;
 use crate::proxy::Proxy;
 
 impl Proxy {
-    /// Carries out a call, and answers it.
-    pub(super) fn answer_admin_call(&mut self, method: &str, path: &str) -> AdminResponse {
+    /// Parses and executes a request, and returns the response.
+    pub(super) fn admin_response(&mut self, method: &str, path: &str) -> AdminResponse {
         match AdminRequest::parse(method, path, self.cluster.is_some()) {
             Ok(request) => self.handle_admin_request(&request),
             Err(error) => error.into(),
@@ -46,12 +46,12 @@
         AdminResponse::ok(text.unwrap_or_default())
     }
 
-    /// All metrics, one a line.
+    /// All metrics, one per line.
     fn metrics_text(&self) -> String {
         let classes = &self.name_index.classes.names;
-        let uploading = self.downstream.incomplete_requests();
+        let incomplete_requests = self.downstream.incomplete_requests();
         let (discovered, ejected) = self.dispatcher.endpoint_counts();
-        let mut text = self.access_metrics.to_text(classes, uploading);
+        let mut text = self.access_metrics.to_text(classes, incomplete_requests);
         text += &format!("discovered={discovered}\nejected={ejected}\n");
         text += &self.descriptor_shortages.to_string();
         if let Some(cluster) = &self.cluster {
--- a/proxy/src/admin/mod.rs
+++ b/proxy/src/admin/mod.rs
@@ -1,37 +1,38 @@
-//! The admin API for operators: HTTP/1.1, one call to a connection, answered as soon as its head is complete.
+//! The admin API for operators: HTTP/1.1, one request per connection, answered as soon as the request head is
+//! complete.
 //!
-//! - `callers` accepts connections, keeps a bounded number of them and closes them.
-//! - `caller` is one connection: it reads the call and writes the response.
-//! - `request` routes a call to an `request::AdminRequest`, or says why there is none.
-//! - `response` is what goes back.
-//! - `handlers` carries out requests.
-//! - `disabled_endpoints` keeps the endpoints that operators disabled.
+//! - `connections` accepts, bounds and closes connections.
+//! - `connection` reads the request and writes the response of one connection.
+//! - `request` parses a method and path into an `AdminRequest`.
+//! - `response` builds responses.
+//! - `handlers` executes requests.
+//! - `disabled_endpoints` tracks the endpoints that operators have disabled.
 
-mod caller;
-mod callers;
-/// Endpoints that operators disabled, kept in files across restarts.
+mod connection;
+mod connections;
+/// Endpoints disabled by operators, persisted across restarts.
 pub mod disabled_endpoints;
 mod handlers;
-/// Requests of the admin API and their routes.
+/// Admin API requests and their routes.
 pub mod request;
 mod response;
 
-use crate::admin::caller::Caller;
+use crate::admin::connection::AdminConnection;
 use crate::tokens::{ADMIN_LISTENER, MAX_ADMIN_CALLERS};
 use mio::net::{TcpListener, TcpStream};
 use mio::{Interest, Registry};
 use std::io;
 use std::net::SocketAddr;
 
-/// The listener of the admin API, and its callers.
+/// The listener of the admin API and its open connections.
 #[derive(Default)]
 pub struct AdminServer {
     listener: Option<TcpListener>,
-    callers: [Option<Caller>; MAX_ADMIN_CALLERS],
+    connections: [Option<AdminConnection>; MAX_ADMIN_CALLERS],
 }
 
 impl AdminServer {
-    /// A server without callers; without a listener it never has any.
+    /// Creates a server without connections. Without a listener the admin API is off.
     pub fn new(listener: Option<TcpListener>) -> Self {
         AdminServer {
             listener,
@@ -39,7 +40,7 @@
         }
     }
 
-    /// Accepts one connection; where there is no listener, none waits.
+    /// Accepts one connection. Without a listener this fails with `WouldBlock`.
     fn accept(&self) -> io::Result<TcpStream> {
         match &self.listener {
             Some(listener) => listener.accept().map(|(stream, _)| stream),
@@ -47,36 +48,35 @@
         }
     }
 
-    /// Whether operators can call.
+    /// Whether the admin API is on.
     pub(crate) fn is_listening(&self) -> bool {
         self.listener.is_some()
     }
 
-    /// The number of callers.
-    pub(crate) fn caller_count(&self) -> usize {
-        self.callers.iter().flatten().count()
+    pub(crate) fn connection_count(&self) -> usize {
+        self.connections.iter().flatten().count()
     }
 
     fn free_slot(&self) -> Option<usize> {
-        self.callers.iter().position(Option::is_none)
+        self.connections.iter().position(Option::is_none)
     }
 
-    /// The caller that makes room for a new one, of those that may; none where none may.
-    fn least_needed(&self, may_close: impl Fn(&Caller) -> bool) -> Option<usize> {
-        let callers = self.callers.iter().enumerate();
-        callers
-            .filter_map(|(slot, caller)| Some((slot, caller.as_ref()?)))
-            .filter(|(_, caller)| may_close(caller))
-            .min_by(|(_, one), (_, other)| one.cmp_need(other))
+    /// The slot of the first connection in eviction order that passes the filter.
+    fn eviction_candidate(&self, may_evict: impl Fn(&AdminConnection) -> bool) -> Option<usize> {
+        let connections = self.connections.iter().enumerate();
+        connections
+            .filter_map(|(slot, connection)| Some((slot, connection.as_ref()?)))
+            .filter(|(_, connection)| may_evict(connection))
+            .min_by(|(_, one), (_, other)| one.cmp_eviction_order(other))
             .map(|(slot, _)| slot)
     }
 }
 
-/// Listens at an address, and registers the listener with the event loop.
+/// Listens at an address and registers the listener with the event loop.
 ///
 /// # Errors
 ///
-/// The address cannot be bound, or the listener not registered.
+/// Fails if the address cannot be bound or the listener cannot be registered.
 pub fn listen(address: SocketAddr, registry: &Registry) -> io::Result<TcpListener> {
     let mut listener = TcpListener::bind(address)?;
     registry.register(&mut listener, ADMIN_LISTENER, Interest::READABLE)?;
--- a/proxy/src/admin/request.rs
+++ b/proxy/src/admin/request.rs
@@ -1,4 +1,4 @@
-//! Requests of the admin API, and the routes to them.
+//! Admin API requests and their routes.
 
 const READINESS_PATH: &str = "/v1/readyz";
 const METRICS_PATH: &str = "/v1/metrics";
@@ -7,45 +7,45 @@
 const DISABLE_ACTION: &str = "suspend";
 const ENABLE_ACTION: &str = "resume";
 
-/// What a caller asks for.
+/// A request to the admin API.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum AdminRequest {
-    /// Whether clients may come.
+    /// Returns whether the proxy is ready to serve clients.
     Readiness,
-    /// Figures, one a line.
+    /// Returns all metrics.
     Metrics,
-    /// The cluster's members, as this proxy knows them.
+    /// Returns the cluster members known to this proxy.
     ClusterStatus,
-    /// Sends nothing more to an endpoint.
+    /// Stops sending requests to an endpoint.
     DisableEndpoint {
         /// The endpoint's id in the endpoint list.
         id: String,
     },
-    /// Sends to a disabled endpoint again.
+    /// Resumes sending requests to a disabled endpoint.
     EnableEndpoint {
         /// The endpoint's id in the endpoint list.
         id: String,
     },
 }
 
-/// Why a call is no request.
+/// Why a request is rejected. The message is the body of the response.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum AdminRequestError {
-    /// No request has that path.
+    /// No route matches the path.
     #[error("no such call")]
     UnknownPath,
-    /// The path takes another method.
+    /// The path requires another method.
     #[error("{allowed} is the method of this call")]
     MethodNotAllowed {
-        /// The method that the path takes.
+        /// The method that the path requires.
         allowed: &'static str,
     },
-    /// The id in the path is empty, or not well encoded.
+    /// The endpoint id in the path is empty or not valid percent-encoded UTF-8.
     #[error("the id can't be read")]
     InvalidEndpointId,
 }
 
-/// The requests that a path may stand for, before its method and id are checked.
+/// A matched path, before the method is checked and the endpoint id is decoded.
 enum Route<'a> {
     Readiness,
     Metrics,
@@ -70,7 +70,7 @@
         }
     }
 
-    fn method(&self) -> &'static str {
+    fn allowed_method(&self) -> &'static str {
         match self {
             Route::Readiness | Route::Metrics | Route::ClusterStatus => "GET",
             Route::DisableEndpoint { .. } | Route::EnableEndpoint { .. } => "POST",
@@ -79,18 +79,18 @@
 }
 
 impl AdminRequest {
-    /// Reads a call. The cluster's path exists only in a proxy that is in a cluster.
+    /// Parses a method and a path without its query. The cluster path exists only if the proxy is in a cluster.
     ///
     /// # Errors
     ///
-    /// No request has the path, it takes another method, or the id in it cannot be decoded.
+    /// Fails if no route matches the path, the path requires another method, or the endpoint id cannot be decoded.
     pub fn parse(
         method: &str,
         path: &str,
         cluster_enabled: bool,
     ) -> Result<Self, AdminRequestError> {
         let route = Route::find(path, cluster_enabled).ok_or(AdminRequestError::UnknownPath)?;
-        let allowed = route.method();
+        let allowed = route.allowed_method();
         if method != allowed {
             return Err(AdminRequestError::MethodNotAllowed { allowed });
         }
@@ -109,7 +109,7 @@
     }
 }
 
-/// Decodes a percent-encoded id; none where it is empty, wrongly encoded or not UTF-8.
+/// Decodes a percent-encoded id. Returns `None` if it is empty, wrongly encoded or not UTF-8.
 fn percent_decode(encoded: &str) -> Option<String> {
     let mut decoded = Vec::with_capacity(encoded.len());
     let mut rest = encoded.as_bytes();
@@ -120,7 +120,7 @@
             continue;
         }
         let digits = after.get(..2)?;
-        // `from_str_radix` alone would also accept a sign.
+        // `from_str_radix` also accepts a sign.
         if !digits.iter().all(u8::is_ascii_hexdigit) {
             return None;
         }
--- a/proxy/src/admin/response.rs
+++ b/proxy/src/admin/response.rs
@@ -1,16 +1,16 @@
-//! Responses of the admin API.
+//! Admin API responses.
 
 use super::disabled_endpoints::DisabledEndpointError;
 use super::request::AdminRequestError;
 
-/// A status and a plain text.
+/// A status and a plain-text body.
 pub(super) struct AdminResponse {
     pub(super) status: u16,
     pub(super) body: String,
 }
 
 impl AdminResponse {
-    /// A success, with a text.
+    /// 200 OK.
     pub(super) fn ok(body: impl Into<String>) -> Self {
         AdminResponse {
             status: 200,
@@ -18,7 +18,7 @@
         }
     }
 
-    /// The proxy cannot do now what is asked.
+    /// 503 Service Unavailable.
     pub(super) fn unavailable(body: impl Into<String>) -> Self {
         AdminResponse {
             status: 503,
@@ -26,7 +26,7 @@
         }
     }
 
-    /// A status that says it all.
+    /// A response with a status and an empty body.
     pub(super) fn without_body(status: u16) -> Self {
         AdminResponse {
             status,
--- a/proxy/src/descriptors/proxy_reserve.rs
+++ b/proxy/src/descriptors/proxy_reserve.rs
@@ -74,7 +74,7 @@
             }
             DescriptorPurpose::Discovery => usize::from(!self.discovery.is_connected()),
             DescriptorPurpose::AdminCaller if self.admin.is_listening() => {
-                ADMIN_CALLERS.saturating_sub(self.admin.caller_count())
+                ADMIN_CALLERS.saturating_sub(self.admin.connection_count())
             }
             DescriptorPurpose::AdminCaller => 0,
             DescriptorPurpose::File => 1,
--- a/proxy/src/event_loop.rs
+++ b/proxy/src/event_loop.rs
@@ -109,7 +109,7 @@
     /// whose drain lies ready from discovery.
     fn dispatch_control_event(&mut self, source: EventSource) -> bool {
         match source {
-            EventSource::AdminListener => self.accept_admin_callers(),
+            EventSource::AdminListener => self.accept_admin_connections(),
             EventSource::AdminCaller(slot) => self.admin_event(slot),
             EventSource::UpgradeListener => self.accept_newer_process(),
             EventSource::NewerProcess => self.newer_process_event(),
