--- a/proxy/src/config/configuration.rs
+++ b/proxy/src/config/configuration.rs
@@ -1,4 +1,4 @@
-//! The platform's configuration: read, validated and given defaults in one place.
+//! The platform's configuration: loading, validation and defaults.
 
 use super::document::ConfigurationDocument;
 use super::reload_check::first_missing_key;
@@ -12,119 +12,119 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// Descriptors for other than clients and endpoints: ten for the standard streams, polling, signals, the
-/// listener and discovery, the admin API and its callers, and some to spare.
-const OTHER_DESCRIPTORS: u64 = 20 + MAX_ADMIN_CALLERS as u64;
-/// The fewest descriptors with which a proxy starts: four connections of clients and four to endpoints.
-const MIN_DESCRIPTORS: u64 = OTHER_DESCRIPTORS + 8;
-/// The fewest connections of either side, however small the share of a process.
+/// Descriptors not used for client or endpoint connections: the standard streams, the poll, signals, the listener and
+/// discovery (ten together), the admin API and its connections, and a margin.
+const INTERNAL_DESCRIPTORS: u64 = 20 + MAX_ADMIN_CALLERS as u64;
+/// The minimum descriptor limit, which leaves four client connections and four endpoint connections.
+const MIN_DESCRIPTORS: u64 = INTERNAL_DESCRIPTORS + 8;
+/// The minimum number of connections per side in one process.
 const MIN_CONNECTIONS: f64 = 4.0;
 
 const DEFAULT_DESCRIPTORS: f64 = 1024.0;
 const DEFAULT_MEMORY_MB: f64 = 192.0;
-/// As long as TCP takes to send a lost first packet again.
+/// Equal to the initial TCP retransmission timeout (RFC 6298).
 const DEFAULT_CONNECT_TIMEOUT_MS: f64 = 1000.0;
-/// As long as common servers keep an idle connection at least.
+/// Common HTTP servers keep idle connections at least this long.
 const DEFAULT_KEEPALIVE_MS: f64 = 5000.0;
 
-/// An environment variable that takes precedence over a key of the file.
-struct Override {
+/// An environment variable that overrides a key of the file.
+struct EnvironmentOverride {
     key: &'static str,
     variable: &'static str,
 }
 
-const LISTEN_OVERRIDE: Override = Override {
+const LISTEN_OVERRIDE: EnvironmentOverride = EnvironmentOverride {
     key: "listen",
     variable: "BALANCER_LISTEN",
 };
-const DISCOVERY_OVERRIDE: Override = Override {
+const DISCOVERY_OVERRIDE: EnvironmentOverride = EnvironmentOverride {
     key: "discovery",
     variable: "BALANCER_DISCOVERY",
 };
-const ADMIN_OVERRIDE: Override = Override {
+const ADMIN_OVERRIDE: EnvironmentOverride = EnvironmentOverride {
     key: "admin_addr",
     variable: "BALANCER_ADMIN_ADDR",
 };
 
-/// The most connections of clients, and the most to endpoints, within a number of descriptors: a request in
-/// flight holds one of each.
+/// The maximum number of client connections, and of endpoint connections, for a number of descriptors. They are
+/// equal because a request in flight uses one of each.
 pub fn connection_limit(descriptors: f64) -> usize {
-    // A process whose share leaves nothing would serve nobody.
-    let connections = (descriptors - OTHER_DESCRIPTORS as f64) / 2.0;
+    // During an upgrade a process's share of the descriptors may be too small for any connection.
+    let connections = (descriptors - INTERNAL_DESCRIPTORS as f64) / 2.0;
     connections.max(MIN_CONNECTIONS) as usize
 }
 
-/// A validated configuration, with the load balancer that it sets up.
+/// A validated configuration and the load balancer built from it.
 pub struct Configuration {
-    /// The document as read, without its endpoint list.
+    /// The JSON document without its endpoint list.
     pub document: Value,
-    /// The proxy's name; empty where none is given.
+    /// The proxy's name; empty if none is configured.
     pub name: String,
     /// The longest deadline of all request classes.
     pub longest_ttl_ms: f64,
-    /// Where clients connect.
+    /// The address for client connections.
     pub listen: SocketAddr,
-    /// Where the discovery agent answers.
+    /// The address of the discovery agent.
     pub discovery: SocketAddr,
-    /// Where the admin API listens; there is none without it.
+    /// The address of the admin API; `None` disables it.
     pub admin_address: Option<SocketAddr>,
-    /// File descriptors that all processes of the proxy may hold together.
+    /// The descriptor limit of all processes of the proxy together.
     pub descriptor_limit: usize,
-    /// Memory for buffers of all processes of the proxy together.
+    /// Buffer memory of all processes of the proxy together, in bytes.
     pub buffer_bytes: usize,
-    /// How long connecting to an endpoint may take.
+    /// The timeout for connecting to an endpoint.
     pub connect_timeout_ms: f64,
-    /// How long an idle connection to an endpoint is kept.
+    /// The idle timeout of connections to endpoints.
     pub keepalive_ms: f64,
-    /// The endpoint list as last known to the platform, in discovery's form; null where none is given.
+    /// The endpoint list last known to the platform, in the discovery format; null if there is none.
     pub known_endpoints: Value,
-    /// Indices of the names in the settings.
+    /// The index of names in the settings.
     pub name_index: NameIndex,
-    /// The header that carries a request's routing key, if there is one.
+    /// The request header that carries the routing key, if configured.
     pub key_header: Option<String>,
     /// The load balancer.
     pub dispatcher: Dispatcher,
 }
 
 impl Configuration {
-    /// Loads the file that `BALANCER_CONFIG` names, at the start of a process; single variables take precedence.
+    /// Loads the file named by `BALANCER_CONFIG` at startup, with overrides from the environment.
     ///
     /// # Errors
     ///
-    /// What is wrong first, with its key.
+    /// Returns the first error found.
     pub fn load() -> Result<Self, ConfigurationError> {
         let document = load_document(&[LISTEN_OVERRIDE, DISCOVERY_OVERRIDE, ADMIN_OVERRIDE])?;
         Self::from_document(&document)
     }
 
-    /// Loads the file again beside the running configuration. The environment is that of the start, so
-    /// `BALANCER_DISCOVERY` no longer takes precedence: no new file could ever name another address.
+    /// Loads the file for a reload of the running configuration. `BALANCER_DISCOVERY` is ignored: the environment
+    /// cannot change after startup, so the override would prevent any change of the address.
     ///
     /// # Errors
     ///
-    /// What is wrong first, or the first key that the running configuration has and the file lacks.
+    /// Returns the first error found, or the first key of the running configuration that is missing in the file.
     pub fn reload(running: &Value) -> Result<Self, ConfigurationError> {
         let document = load_document(&[LISTEN_OVERRIDE, ADMIN_OVERRIDE])?;
         let new = Self::from_document(&document)?;
         match first_missing_key(running, &new.document) {
-            Some(key) => Err(ConfigurationError::Missing { key }),
+            Some(key) => Err(ConfigurationError::MissingKey { key }),
             None => Ok(new),
         }
     }
 
-    /// Validates a document.
+    /// Validates a JSON document.
     ///
     /// # Errors
     ///
-    /// What is wrong first, with its key.
+    /// Returns the first error found.
     pub fn from_document(document: &Value) -> Result<Self, ConfigurationError> {
-        let file: ConfigurationDocument = read_document(document);
+        let file: ConfigurationDocument = deserialize_document(document);
         if !file.settings.is_object() {
-            return Err(missing("settings"));
+            return Err(missing_key("settings"));
         }
         let seed = parse_seed(file.seed.as_deref())?;
         let descriptors = parse_descriptor_limit(file.limits.sockets.as_ref())?;
-        let memory_mb = positive_or(
+        let memory_mb = parse_positive(
             "limits.memory_mb",
             file.limits.memory_mb.as_ref(),
             DEFAULT_MEMORY_MB,
@@ -142,14 +142,14 @@
             discovery: parse_address("discovery", file.discovery.as_deref())?,
             admin_address: parse_admin_address(file.admin_addr.as_ref())?,
             descriptor_limit: descriptors as usize,
-            // The other half is for tables, the program and what the system keeps for sockets.
+            // The other half is left for tables, code and the kernel's socket memory.
             buffer_bytes: (memory_mb * 1024.0 * 1024.0 / 2.0) as usize,
-            connect_timeout_ms: positive_or(
+            connect_timeout_ms: parse_positive(
                 "settings.Limits.ConnectTimeoutMs",
                 connection_limits.connect_timeout_ms.as_ref(),
                 DEFAULT_CONNECT_TIMEOUT_MS,
             )?,
-            keepalive_ms: positive_or(
+            keepalive_ms: parse_positive(
                 "settings.Limits.KeepaliveMs",
                 connection_limits.keepalive_ms.as_ref(),
                 DEFAULT_KEEPALIVE_MS,
@@ -163,8 +163,8 @@
     }
 }
 
-/// Reads the file that `BALANCER_CONFIG` names, and puts the overrides in.
-fn load_document(overrides: &[Override]) -> Result<Value, ConfigurationError> {
+/// Reads the file named by `BALANCER_CONFIG` and applies the overrides.
+fn load_document(overrides: &[EnvironmentOverride]) -> Result<Value, ConfigurationError> {
     const VARIABLE: &str = "BALANCER_CONFIG";
     let path = std::env::var(VARIABLE).map_err(|source| ConfigurationError::VariableNotSet {
         variable: VARIABLE,
@@ -177,12 +177,12 @@
     };
     let mut document: Value = match serde_json::from_str(&text) {
         Ok(document) => document,
-        Err(source) => return Err(ConfigurationError::NotJson { path, source }),
+        Err(source) => return Err(ConfigurationError::InvalidJson { path, source }),
     };
     let object = document
         .as_object_mut()
         .ok_or(ConfigurationError::NotAnObject)?;
-    for Override { key, variable } in overrides {
+    for EnvironmentOverride { key, variable } in overrides {
         if let Ok(value) = std::env::var(variable) {
             object.insert((*key).into(), value.into());
         }
@@ -190,11 +190,11 @@
     Ok(document)
 }
 
-fn read_document(document: &Value) -> ConfigurationDocument {
+fn deserialize_document(document: &Value) -> ConfigurationDocument {
     if !document.is_object() {
         return ConfigurationDocument::default();
     }
-    // No field of it rejects a value, whatever its type.
+    // Every field accepts any JSON type, so this cannot fail.
     ConfigurationDocument::deserialize(document).unwrap_or_default()
 }
 
@@ -206,14 +206,14 @@
     document
 }
 
-fn missing(key: &str) -> ConfigurationError {
-    ConfigurationError::Missing { key: key.into() }
+fn missing_key(key: &str) -> ConfigurationError {
+    ConfigurationError::MissingKey { key: key.into() }
 }
 
 fn parse_address(key: &'static str, text: Option<&str>) -> Result<SocketAddr, ConfigurationError> {
-    let text = text.ok_or_else(|| missing(key))?;
+    let text = text.ok_or_else(|| missing_key(key))?;
     text.parse()
-        .map_err(|source| ConfigurationError::NotAnAddress {
+        .map_err(|source| ConfigurationError::InvalidAddress {
             key,
             text: text.into(),
             source,
@@ -228,15 +228,15 @@
 }
 
 fn parse_seed(text: Option<&str>) -> Result<u64, ConfigurationError> {
-    let text = text.ok_or_else(|| missing("seed"))?;
-    u64::from_str_radix(text, 16).map_err(|source| ConfigurationError::SeedNotHexadecimal {
+    let text = text.ok_or_else(|| missing_key("seed"))?;
+    u64::from_str_radix(text, 16).map_err(|source| ConfigurationError::InvalidSeed {
         text: text.into(),
         source,
     })
 }
 
-/// A number above 0, or the default where the key is absent or null.
-fn positive_or(
+/// Parses a number above 0. Returns the default if the key is absent or null.
+fn parse_positive(
     key: &'static str,
     value: Option<&Value>,
     default: f64,
@@ -251,10 +251,10 @@
 }
 
 fn parse_descriptor_limit(value: Option<&Value>) -> Result<u64, ConfigurationError> {
-    let descriptors = positive_or("limits.sockets", value, DEFAULT_DESCRIPTORS)? as u64;
+    let descriptors = parse_positive("limits.sockets", value, DEFAULT_DESCRIPTORS)? as u64;
     if descriptors < MIN_DESCRIPTORS {
         return Err(ConfigurationError::TooFewDescriptors {
-            least: MIN_DESCRIPTORS,
+            minimum: MIN_DESCRIPTORS,
         });
     }
     Ok(descriptors)
@@ -264,21 +264,20 @@
     match value {
         None => Ok(None),
         Some(Value::String(name)) if is_header_name(name) => Ok(Some(name.clone())),
-        Some(_) => Err(ConfigurationError::NotAHeaderName),
+        Some(_) => Err(ConfigurationError::InvalidHeaderName),
     }
 }
 
 fn is_header_name(name: &str) -> bool {
-    let fits = |byte: u8| byte.is_ascii_alphanumeric() || b"-_.".contains(&byte);
-    !name.is_empty() && name.bytes().all(fits)
+    let is_allowed = |byte: u8| byte.is_ascii_alphanumeric() || b"-_.".contains(&byte);
+    !name.is_empty() && name.bytes().all(is_allowed)
 }
 
-/// Reads the list to reject a faulty one, into an index that is thrown away.
 fn validate_known_endpoints(known: &Value) -> Result<(), ConfigurationError> {
     if known.is_null() {
         return Ok(());
     }
-    // Read for its errors, into names that are thrown away.
+    // Parsed only to report errors, so the name index is discarded.
     EndpointList::from_json(&mut NameIndex::default(), known)?;
     Ok(())
 }
--- a/proxy/src/config/error.rs
+++ b/proxy/src/config/error.rs
@@ -1,4 +1,4 @@
-//! What can be wrong with the platform's configuration.
+//! Errors in the platform's configuration.
 
 use crate::endpoint_list::EndpointListError;
 use crankmux::settings::SettingsError;
@@ -7,79 +7,79 @@
 use std::num::ParseIntError;
 use std::path::PathBuf;
 
-/// Why a configuration was rejected. A message names the key as operators write it, its parts joined by dots.
+/// Why a configuration was rejected. Messages name a key by its path, joined by dots.
 #[derive(Debug, thiserror::Error)]
 pub enum ConfigurationError {
-    /// The environment names no configuration file.
+    /// The environment variable that names the configuration file is not set or not valid Unicode.
     #[error("{variable} is not set")]
     VariableNotSet {
-        /// The environment variable that names the file.
+        /// The name of the variable.
         variable: &'static str,
-        /// Why it could not be read.
+        /// The reason.
         source: std::env::VarError,
     },
     /// The configuration file cannot be read.
     #[error("BALANCER_CONFIG: {}: {source}", path.display())]
     Unreadable {
-        /// The file that `BALANCER_CONFIG` names.
+        /// The path of the file.
         path: PathBuf,
-        /// Why it could not be read.
+        /// The I/O error.
         source: io::Error,
     },
-    /// The configuration file holds no JSON.
+    /// The configuration file is not valid JSON.
     #[error("BALANCER_CONFIG: {}: {source}", path.display())]
-    NotJson {
-        /// The file that `BALANCER_CONFIG` names.
+    InvalidJson {
+        /// The path of the file.
         path: PathBuf,
-        /// Where the text stops being JSON.
+        /// The syntax error.
         source: serde_json::Error,
     },
-    /// The configuration file holds JSON, but no object.
+    /// The configuration file is not a JSON object.
     #[error("BALANCER_CONFIG: not a JSON object")]
     NotAnObject,
-    /// A key is absent, or its value is of another type.
+    /// A required key is absent or has the wrong type.
     #[error("{key} is missing")]
-    Missing {
-        /// The key's path.
+    MissingKey {
+        /// The path of the key.
         key: String,
     },
-    /// A value is no socket address.
+    /// A value is not a socket address.
     #[error("{key} is no address with a port: {text}")]
-    NotAnAddress {
-        /// The key's path.
+    InvalidAddress {
+        /// The path of the key.
         key: &'static str,
-        /// The value as written.
+        /// The value in the file.
         text: String,
-        /// What the parser says.
+        /// The parse error.
         source: AddrParseError,
     },
-    /// The seed is no hexadecimal number of 64 bits.
+    /// The seed is not a 64-bit hexadecimal number.
     #[error("seed is no hexadecimal number: {text}")]
-    SeedNotHexadecimal {
-        /// The value as written.
+    InvalidSeed {
+        /// The value in the file.
         text: String,
-        /// What the parser says.
+        /// The parse error.
         source: ParseIntError,
     },
-    /// A value is no number above 0.
+    /// A value is not a number above 0.
     #[error("{key} is no number above 0")]
     NotPositive {
-        /// The key's path.
+        /// The path of the key.
         key: &'static str,
     },
-    /// The descriptor limit leaves too few for connections.
-    #[error("limits.sockets is under {least}")]
+    /// The descriptor limit is below the minimum.
+    #[error("limits.sockets is under {minimum}")]
     TooFewDescriptors {
-        /// The least that is accepted.
-        least: u64,
+        /// The minimum.
+        minimum: u64,
     },
-    /// `key_header` holds what no header's name may hold.
+    /// `key_header` is not a valid header name.
     #[error("key_header is no header's name")]
-    NotAHeaderName,
-    /// The load balancer rejects `settings`.
+    InvalidHeaderName,
+    /// The load balancer rejected `settings`.
     #[error("settings: {0}")]
     Settings(#[from] SettingsError),
-    /// The endpoint list under `known` cannot be read.
+    /// The endpoint list under `known` is invalid.
     #[error("known: {0}")]
     KnownEndpoints(#[from] EndpointListError),
 }
--- a/proxy/src/config/mod.rs
+++ b/proxy/src/config/mod.rs
@@ -1,10 +1,10 @@
-//! Configuration: the platform's JSON file and the operator's own TOML file.
+//! Configuration: the platform's JSON file and the operator's TOML file.
 
 /// The platform's JSON configuration: parsing, validation and defaults.
 pub mod configuration;
 mod document;
 mod error;
-/// The operator's TOML file and the key files that it names.
+/// The operator's TOML file and its key files.
 pub mod operator_config;
 mod reload_check;
 
--- a/proxy/src/config/operator_config.rs
+++ b/proxy/src/config/operator_config.rs
@@ -1,4 +1,4 @@
-//! The operator's TOML file, with the key files that it names.
+//! The operator's TOML file and its key files.
 
 use crankmux_membership::authentication::MIN_KEY_LENGTH;
 use crankmux_operator_config::{ClusterOptions, ConfigurationError, OperatorConfig};
@@ -8,85 +8,84 @@
 use std::path::{Path, PathBuf};
 
 /// The environment variable that names the file.
-const VARIABLE: &str = "CRANKMUX_OPERATOR_CONFIG";
-/// Its earlier name, which is still read where the variable is not set.
-const DEPRECATED_VARIABLE: &str = "CRANKMUX_CHARTER";
+const PATH_VARIABLE: &str = "CRANKMUX_OPERATOR_CONFIG";
+/// The deprecated name of [`PATH_VARIABLE`], read only if the latter is not set.
+const DEPRECATED_PATH_VARIABLE: &str = "CRANKMUX_CHARTER";
 
-/// A valid operator configuration, and what was read from the files that it names.
+/// A valid operator configuration with the contents of its key files.
 #[derive(Default)]
 pub struct LoadedOperatorConfig {
-    /// The cluster's options and keys, where the file has that section.
+    /// The cluster options and keys, if the file has a cluster section.
     pub cluster: Option<LoadedClusterOptions>,
 }
 
-/// The cluster's options, and its keys in the order of their files.
+/// The cluster options and keys.
 pub struct LoadedClusterOptions {
-    /// The section as read.
+    /// The options of the cluster section.
     pub options: ClusterOptions,
-    /// The keys that authenticate datagrams.
+    /// The datagram authentication keys, in the order of `key-files`.
     pub keys: Vec<String>,
 }
 
-/// Why an operator configuration was rejected. Its message has one line for each error, which starts with the
-/// file's name.
+/// Why an operator configuration was rejected. The message has one line per error, prefixed by the file's path.
 #[derive(Debug, thiserror::Error)]
 pub enum OperatorConfigError {
     /// The file cannot be read.
     #[error("{}: {source}", path.display())]
     Unreadable {
-        /// The operator's file.
+        /// The path of the file.
         path: PathBuf,
-        /// Why it could not be read.
+        /// The I/O error.
         source: io::Error,
     },
-    /// The file's text is faulty.
-    #[error("{}", OneLineEach { path, errors })]
+    /// The file is invalid.
+    #[error("{}", ErrorLines { path, errors })]
     Invalid {
-        /// The operator's file.
+        /// The path of the file.
         path: PathBuf,
-        /// All that is wrong with it, by line.
+        /// All errors in the file, in line order.
         errors: Vec<ConfigurationError>,
     },
-    /// Files of keys that it names are faulty.
-    #[error("{}", OneLineEach { path, errors })]
+    /// Key files cannot be used.
+    #[error("{}", ErrorLines { path, errors })]
     KeyFiles {
-        /// The operator's file.
+        /// The path of the file.
         path: PathBuf,
-        /// One for each faulty file.
+        /// One error per key file.
         errors: Vec<KeyFileError>,
     },
 }
 
-/// Why a key cannot be used.
+/// Why a key file cannot be used.
 #[derive(Debug, thiserror::Error)]
 pub enum KeyFileError {
     /// The file cannot be read.
     #[error("{section}.key-files: {file}: {source}")]
     Unreadable {
-        /// The section's name as the operator's file writes it.
+        /// The name of the section that lists the key file.
         section: &'static str,
-        /// The key's file as the operator's file names it.
+        /// The key file's path as written in the section.
         file: String,
-        /// Why it could not be read.
+        /// The I/O error.
         source: io::Error,
     },
-    /// The key is too short to be safe.
+    /// The key is shorter than [`MIN_KEY_LENGTH`].
     #[error("{section}.key-files: {file}: a key has {MIN_KEY_LENGTH} characters at least")]
     TooShort {
-        /// The section's name as the operator's file writes it.
+        /// The name of the section that lists the key file.
         section: &'static str,
-        /// The key's file as the operator's file names it.
+        /// The key file's path as written in the section.
         file: String,
     },
 }
 
-/// Shows errors of a file, each on a line of its own.
-struct OneLineEach<'a, T> {
+/// Formats errors one per line, each prefixed by the file's path.
+struct ErrorLines<'a, T> {
     path: &'a Path,
     errors: &'a [T],
 }
 
-impl<T: Display> Display for OneLineEach<'_, T> {
+impl<T: Display> Display for ErrorLines<'_, T> {
     fn fmt(&self, formatter: &mut Formatter) -> fmt::Result {
         for (index, error) in self.errors.iter().enumerate() {
             if index > 0 {
@@ -98,12 +97,12 @@
     }
 }
 
-/// Loads the file that `CRANKMUX_OPERATOR_CONFIG` names; without the variable every option is off. The log
-/// tells of deprecated names.
+/// Loads the file named by `CRANKMUX_OPERATOR_CONFIG`. Without the variable all options are off. Logs a warning for
+/// each deprecated name.
 ///
 /// # Errors
 ///
-/// All that is wrong with it.
+/// Fails if the file cannot be read or is invalid, or if a key file cannot be used.
 pub fn load() -> Result<LoadedOperatorConfig, OperatorConfigError> {
     let Some(path) = path_from_environment() else {
         return Ok(LoadedOperatorConfig::default());
@@ -113,7 +112,7 @@
     let cluster = config.cluster.as_ref();
     if cluster.is_some_and(|cluster| cluster.options.has_deprecated_name()) {
         log::warn!(
-            "{}: the section [{}] is deprecated; its name is [{}]",
+            "{}: section [{}] is deprecated; use [{}]",
             path.display(),
             ClusterOptions::DEPRECATED_SECTION_NAME,
             ClusterOptions::SECTION_NAME
@@ -123,19 +122,19 @@
 }
 
 fn path_from_environment() -> Option<OsString> {
-    if let Some(path) = std::env::var_os(VARIABLE) {
+    if let Some(path) = std::env::var_os(PATH_VARIABLE) {
         return Some(path);
     }
-    let path = std::env::var_os(DEPRECATED_VARIABLE)?;
-    log::warn!("the variable {DEPRECATED_VARIABLE} is deprecated; its name is {VARIABLE}");
+    let path = std::env::var_os(DEPRECATED_PATH_VARIABLE)?;
+    log::warn!("{DEPRECATED_PATH_VARIABLE} is deprecated; use {PATH_VARIABLE}");
     Some(path)
 }
 
-/// Loads an operator configuration from its file.
+/// Loads an operator configuration from a file.
 ///
 /// # Errors
 ///
-/// All that is wrong with it.
+/// Fails if the file cannot be read or is invalid, or if a key file cannot be used.
 pub fn load_file(path: &Path) -> Result<LoadedOperatorConfig, OperatorConfigError> {
     let text = std::fs::read_to_string(path).map_err(|source| OperatorConfigError::Unreadable {
         path: path.into(),
@@ -154,13 +153,13 @@
     })
 }
 
-/// Reads the keys from their files, which stand beside the operator's file unless a path leads elsewhere.
+/// Reads the key files. Relative paths are resolved against the directory of the operator's file.
 fn read_keys(path: &Path, options: &ClusterOptions) -> Result<Vec<String>, OperatorConfigError> {
-    let folder = path.parent().unwrap_or(Path::new("."));
+    let directory = path.parent().unwrap_or(Path::new("."));
     let mut keys = Vec::new();
     let mut errors = Vec::new();
     for file in &options.key_files {
-        match read_key(folder, file, options.section_name) {
+        match read_key(directory, file, options.section_name) {
             Ok(key) => keys.push(key),
             Err(error) => errors.push(error),
         }
@@ -174,9 +173,9 @@
     })
 }
 
-fn read_key(folder: &Path, file: &str, section: &'static str) -> Result<String, KeyFileError> {
+fn read_key(directory: &Path, file: &str, section: &'static str) -> Result<String, KeyFileError> {
     let file = file.to_string();
-    let text = match std::fs::read_to_string(folder.join(&file)) {
+    let text = match std::fs::read_to_string(directory.join(&file)) {
         Ok(text) => text,
         Err(source) => {
             return Err(KeyFileError::Unreadable {
--- a/proxy/src/lenient_json.rs
+++ b/proxy/src/lenient_json.rs
@@ -1,11 +1,11 @@
-//! Deserializers for JSON that others write: a value of another type than expected counts as absent, so that
-//! one odd value never hides the rest.
+//! Lenient JSON deserializers: a value of the wrong type counts as absent, so that it does not invalidate the rest of
+//! the document.
 
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Deserializer};
 use serde_json::Value;
 
-/// Reads an object into a struct; anything else gives the struct's default.
+/// Deserializes a struct from an object, or returns the default.
 pub(crate) fn read_object<T: DeserializeOwned + Default>(value: Value) -> T {
     if value.is_object() {
         T::deserialize(value).unwrap_or_default()
@@ -14,7 +14,7 @@
     }
 }
 
-/// A nested object, or the default.
+/// Deserializes a struct from a nested object, or returns the default.
 pub(crate) fn object<'de, D, T>(deserializer: D) -> Result<T, D::Error>
 where
     D: Deserializer<'de>,
@@ -23,19 +23,21 @@
     Value::deserialize(deserializer).map(read_object)
 }
 
-/// A string, or none.
-pub(crate) fn text<'de, D: Deserializer<'de>>(deserializer: D) -> Result<Option<String>, D::Error> {
+/// Deserializes a string. Any other value gives `None`.
+pub(crate) fn string<'de, D: Deserializer<'de>>(
+    deserializer: D,
+) -> Result<Option<String>, D::Error> {
     let value = Value::deserialize(deserializer)?;
     Ok(value.as_str().map(str::to_string))
 }
 
-/// A number, or none.
+/// Deserializes a number. Any other value gives `None`.
 pub(crate) fn number<'de, D: Deserializer<'de>>(deserializer: D) -> Result<Option<f64>, D::Error> {
     let value = Value::deserialize(deserializer)?;
     Ok(value.as_f64())
 }
 
-/// A whole number from 0, or none.
+/// Deserializes an unsigned integer. Any other value gives `None`.
 pub(crate) fn unsigned<'de, D: Deserializer<'de>>(
     deserializer: D,
 ) -> Result<Option<u64>, D::Error> {
@@ -43,7 +45,7 @@
     Ok(value.as_u64())
 }
 
-/// The whole numbers from 0 in a list; none where it is no list.
+/// Deserializes the unsigned integers in an array and skips other elements. Any other value gives an empty list.
 pub(crate) fn unsigned_list<'de, D: Deserializer<'de>>(
     deserializer: D,
 ) -> Result<Vec<u64>, D::Error> {
@@ -52,7 +54,8 @@
     Ok(items.filter_map(Value::as_u64).collect())
 }
 
-/// The objects in a list; none where it is no list.
+/// Deserializes an array of structs; elements that are not objects give the default. Any other value gives an empty
+/// list.
 pub(crate) fn objects<'de, D, T>(deserializer: D) -> Result<Vec<T>, D::Error>
 where
     D: Deserializer<'de>,
