--- a/proxy/src/endpoint_list.rs
+++ b/proxy/src/endpoint_list.rs
@@ -1,7 +1,7 @@
-//! The endpoint list, as service discovery and the `known` key of the configuration give it.
+//! The endpoint list format of service discovery and of the `known` key of the configuration.
 //!
-//! The JSON is read leniently: an optional field of the wrong type counts as absent, and an entry that lacks a
-//! required field is logged and skipped. Only an unusable frame of the list is an error.
+//! Parsing is lenient: an optional field of the wrong type counts as absent, and an entry that lacks a required field
+//! is logged and skipped. Only an invalid `seq`, `whole` or `hosts` is an error.
 
 use crankmux::settings::NameIndex;
 use crankmux::types::{EndpointState, EndpointUpdate};
@@ -13,43 +13,44 @@
 /// Why a JSON value is not an endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum EndpointListError {
-    /// `seq` cannot be read.
+    /// `seq` is missing or not an unsigned integer.
     #[error("seq is missing or no whole number")]
     InvalidSequenceNumber,
-    /// `whole` cannot be read.
+    /// `whole` is missing or not a boolean.
     #[error("whole is missing or neither true nor false")]
     InvalidCompleteFlag,
-    /// `hosts` cannot be read.
+    /// `hosts` is missing or not an array.
     #[error("hosts is missing or no list")]
     InvalidEndpoints,
 }
 
-/// One version of the endpoint list: all endpoints, or those that changed.
+/// One version of the endpoint list: all endpoints, or only those that changed.
 #[derive(Clone, Debug)]
 pub struct EndpointList {
-    /// The version of the list, in discovery's numbering.
+    /// The version of the list.
     pub sequence_number: u64,
-    /// Whether endpoints that are not listed are removed, rather than unchanged.
+    /// Whether the list contains all endpoints. If so, endpoints that are not listed are removed; otherwise they are
+    /// unchanged.
     pub complete: bool,
-    /// The usable entries, in the order of the list.
+    /// The valid entries, in list order.
     pub endpoints: Vec<ListedEndpoint>,
 }
 
 /// One entry of an endpoint list.
 #[derive(Clone, Copy, Debug)]
 pub struct ListedEndpoint {
-    /// What the entry says of the endpoint, for the load balancer.
+    /// The update for the load balancer.
     pub update: EndpointUpdate,
-    /// The address, and the start of the process there in Unix milliseconds; none unless the endpoint is ready.
+    /// The address and the process start time in Unix milliseconds; `None` unless the endpoint is ready.
     pub dial: Option<(SocketAddr, f64)>,
 }
 
 impl EndpointList {
-    /// Reads a list. Names get indices from `names`; an unusable entry is logged and skipped.
+    /// Parses a list. Names are resolved by `names`; invalid entries are logged and skipped.
     ///
     /// # Errors
     ///
-    /// `seq`, `whole` or `hosts` is missing or of the wrong type.
+    /// Fails if `seq`, `whole` or `hosts` is missing or of the wrong type.
     pub fn from_json(names: &mut NameIndex, list: &Value) -> Result<Self, EndpointListError> {
         let sequence_number = list
             .get("seq")
@@ -65,10 +66,10 @@
             .ok_or(EndpointListError::InvalidEndpoints)?;
         let mut endpoints = Vec::with_capacity(entries.len());
         for entry in entries {
-            match EndpointMessage::from_json(entry) {
+            match EndpointEntry::from_json(entry) {
                 Some(endpoint) => endpoints.push(endpoint.to_listed(names)),
                 None => {
-                    log::warn!("an entry of the endpoint list lacks host or health: {entry}");
+                    log::warn!("skipping an endpoint list entry without host or health: {entry}");
                 }
             }
         }
@@ -80,7 +81,7 @@
     }
 }
 
-/// Hashes a name to the same number in every proxy (64-bit FNV-1a).
+/// 64-bit FNV-1a hash of a name, which is the same in every proxy.
 pub fn stable_hash(name: &str) -> u64 {
     const OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
     const PRIME: u64 = 0x0100_0000_01b3;
@@ -89,9 +90,9 @@
     })
 }
 
-/// One entry of a list on the wire, borrowed from its JSON.
+/// The wire format of an entry, borrowed from its JSON.
 #[derive(Deserialize)]
-struct EndpointMessage<'a> {
+struct EndpointEntry<'a> {
     #[serde(rename = "host")]
     id: &'a str,
     health: &'a str,
@@ -107,10 +108,10 @@
     started_at_ms: Option<f64>,
 }
 
-impl<'a> EndpointMessage<'a> {
-    /// Reads an entry; none where it lacks a required field.
+impl<'a> EndpointEntry<'a> {
+    /// Parses an entry. Returns `None` if a required field is missing.
     fn from_json(entry: &'a Value) -> Option<Self> {
-        // From an array serde would take the fields' values by position.
+        // Serde would also deserialize the fields from an array, by position.
         let fields = entry.as_object()?;
         Self::deserialize(fields).ok()
     }
@@ -119,7 +120,7 @@
         match (self.health, self.address) {
             ("Ready", Some(_)) => EndpointState::Ready,
             ("Gone", _) => EndpointState::Removed,
-            // An unknown health, or a ready endpoint whose address cannot be dialed, must get nothing new.
+            // An unknown health or a ready endpoint without a valid address must get no new requests.
             _ => EndpointState::Draining,
         }
     }
@@ -144,7 +145,7 @@
     }
 }
 
-/// A value that may be of another type than is expected.
+/// A value of the expected type, or of any other.
 #[derive(Deserialize)]
 #[serde(untagged)]
 enum Lenient<T> {
@@ -152,7 +153,7 @@
     Mistyped(IgnoredAny),
 }
 
-/// Reads a field that counts as absent where its type is another.
+/// Deserializes an optional field. A value of the wrong type counts as absent.
 fn none_if_mistyped<'de, D, T>(deserializer: D) -> Result<Option<T>, D::Error>
 where
     D: Deserializer<'de>,
