--- a/proxy/src/discovery/apply.rs
+++ b/proxy/src/discovery/apply.rs
@@ -1,4 +1,4 @@
-//! Takes an endpoint list over into the load balancer and the connection pools.
+//! Applies an endpoint list to the load balancer and the connection pools.
 
 use crate::endpoint_list::EndpointList;
 use crate::proxy::Proxy;
@@ -6,7 +6,7 @@
 use std::collections::HashSet;
 
 impl Proxy {
-    /// Applies a list. A `cached` one was current in an earlier process, and may be outdated.
+    /// Applies a list. A `cached` list was not received from discovery by this process and may be stale.
     pub fn apply_endpoint_list(&mut self, list: &EndpointList, cached: bool) {
         let now = self.now();
         let updates: Vec<EndpointUpdate> =
--- a/proxy/src/discovery/connection.rs
+++ b/proxy/src/discovery/connection.rs
@@ -1,4 +1,4 @@
-//! The connection to discovery: one request at a time, and its response.
+//! The HTTP connection to the discovery agent. It carries one request at a time.
 
 use super::error::PollError;
 use crate::buffers::{Buffer, ReadOutcome};
@@ -9,36 +9,34 @@
 use std::io::{self, Write};
 use std::net::SocketAddr;
 
-/// Initial size of the receive buffer, in bytes: a list of some fifty endpoints.
+/// Initial size of the receive buffer, in bytes: enough for a list of about fifty endpoints.
 const INITIAL_BUFFER_BYTES: usize = 16 * 1024;
-/// The largest response that is read, in bytes: an indented list of tens of thousands of endpoints.
+/// Maximum response size, in bytes: enough for an indented list of tens of thousands of endpoints.
 const MAX_RESPONSE_BYTES: usize = 16 * 1024 * 1024;
 
-/// What an event on the connection has led to.
+/// The result of [`DiscoveryConnection::advance`].
 pub(super) enum Progress {
-    /// The next event continues.
+    /// The socket would block.
     Pending,
-    /// The response is there.
     ResponseComplete,
-    /// The other side closed the connection, or sent something, while no poll was in flight.
+    /// The agent closed the connection or sent data while no poll was in flight.
     ClosedWhileIdle,
 }
 
-/// A complete response.
 pub(super) struct PollResponse<'a> {
     pub(super) status: u16,
     pub(super) body: &'a [u8],
-    /// Whether the connection may carry another request.
+    /// Whether the connection can be reused.
     pub(super) keep_alive: bool,
 }
 
-/// The connection and its buffers. The buffers outlive a stream that is closed.
+/// The connection and its buffers, which are kept when the stream is closed.
 pub(super) struct DiscoveryConnection {
     stream: Option<TcpStream>,
     request: Vec<u8>,
     bytes_sent: usize,
     received: Buffer,
-    /// The response, once its head is read.
+    /// The response, once its head has been parsed.
     response: Option<PartialResponse>,
 }
 
@@ -62,7 +60,7 @@
         self.stream.is_some()
     }
 
-    /// Begins to connect, without waiting for it.
+    /// Starts a non-blocking connect.
     pub(super) fn open(&mut self, address: SocketAddr, registry: &Registry) -> io::Result<()> {
         let mut stream = TcpStream::connect(address)?;
         let interest = Interest::READABLE | Interest::WRITABLE;
@@ -73,12 +71,12 @@
 
     pub(super) fn close(&mut self, registry: &Registry) {
         if let Some(mut stream) = self.stream.take() {
-            // An error changes nothing: the stream is closed next, which ends its registration too.
+            // An error can be ignored: closing the stream also removes its registration.
             let _ = registry.deregister(&mut stream);
         }
     }
 
-    /// Queues a request in place of the last one, and forgets what came of the last response.
+    /// Queues a request and discards the previous request and response.
     pub(super) fn queue_request(&mut self, address: SocketAddr, target: &str) {
         self.request = format!("GET {target} HTTP/1.1\r\nHost: {address}\r\n\r\n").into_bytes();
         self.bytes_sent = 0;
@@ -86,11 +84,11 @@
         self.received.remove(0..self.received.filled().len());
     }
 
-    /// Sends and reads what is possible now.
+    /// Writes and reads until the response is complete or the socket would block.
     ///
     /// # Errors
     ///
-    /// The connection failed, or the response is not one that can be read.
+    /// Fails if the connection fails or the response is invalid.
     pub(super) fn advance(&mut self, poll_in_flight: bool) -> Result<Progress, PollError> {
         let Some(stream) = &mut self.stream else {
             return Ok(Progress::Pending);
@@ -98,7 +96,7 @@
         if stream.peer_addr().is_err() {
             return match stream.take_error() {
                 Ok(Some(error)) => Err(error.into()),
-                // Still connecting. If the socket's error cannot be read, the deadline ends the poll.
+                // Still connecting. If the socket error cannot be read, the poll fails at its deadline.
                 Ok(None) | Err(_) => Ok(Progress::Pending),
             };
         }
@@ -117,17 +115,17 @@
             return Ok(Progress::Pending);
         };
         loop {
-            let filled = self.received.read_from(stream);
-            let ended = filled == ReadOutcome::Closed;
-            if response_is_complete(&mut self.response, &mut self.received, ended)? {
+            let outcome = self.received.read_from(stream);
+            let closed = outcome == ReadOutcome::Closed;
+            if parse_received(&mut self.response, &mut self.received, closed)? {
                 return Ok(Progress::ResponseComplete);
             }
-            match filled {
+            match outcome {
                 ReadOutcome::Received => {}
                 ReadOutcome::WouldBlock => return Ok(Progress::Pending),
                 ReadOutcome::BufferFull => {
                     if !self.received.grow(MAX_RESPONSE_BYTES) {
-                        return Err(PollError::ResponseTooLong);
+                        return Err(PollError::ResponseTooLarge);
                     }
                 }
                 ReadOutcome::Closed | ReadOutcome::Failed => {
@@ -137,7 +135,7 @@
         }
     }
 
-    /// Takes the complete response, of which the body stays in the receive buffer.
+    /// Takes the complete response. Its body borrows from the receive buffer.
     pub(super) fn take_response(&mut self) -> Option<PollResponse<'_>> {
         let PartialResponse { status, message } = self.response.take()?;
         Some(PollResponse {
@@ -147,7 +145,7 @@
         })
     }
 
-    /// Frees what a long response needed: complete lists are rare.
+    /// Shrinks the receive buffer to its initial size: large responses are rare.
     pub(super) fn shrink_receive_buffer(&mut self) {
         if self.received.capacity() > INITIAL_BUFFER_BYTES {
             self.received = Buffer::with_capacity(INITIAL_BUFFER_BYTES);
@@ -170,11 +168,12 @@
     Ok(())
 }
 
-/// Reads on in what was received; `ended` where the connection ends behind it.
-fn response_is_complete(
+/// Parses the received bytes and returns whether the response is complete. `closed` tells whether the connection was
+/// closed after them.
+fn parse_received(
     response: &mut Option<PartialResponse>,
     received: &mut Buffer,
-    ended: bool,
+    closed: bool,
 ) -> Result<bool, PollError> {
     if response.is_none() {
         let head = http::parse_response(received.filled(), MAX_RESPONSE_BYTES, |status, _| status)
@@ -187,5 +186,5 @@
     let complete = message
         .advance(received)
         .map_err(|_| PollError::InvalidResponseBody)?;
-    Ok(complete || (ended && message.ends_at_close()))
+    Ok(complete || (closed && message.ends_at_close()))
 }
--- a/proxy/src/discovery/error.rs
+++ b/proxy/src/discovery/error.rs
@@ -1,4 +1,4 @@
-//! Why polls fail, in the words of the log.
+//! Poll errors, whose messages are logged.
 
 use crate::endpoint_list::EndpointListError;
 use std::io;
@@ -6,19 +6,19 @@
 /// Why a poll failed.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum PollError {
-    #[error("no answer")]
+    #[error("timed out waiting for a response")]
     TimedOut,
     #[error(transparent)]
     Io(#[from] io::Error),
-    #[error("the connection ended")]
+    #[error("connection closed before the response was complete")]
     ConnectionClosed,
-    #[error("not an HTTP answer")]
+    #[error("invalid HTTP response head")]
     InvalidResponseHead,
-    #[error("a broken answer")]
+    #[error("invalid HTTP response body framing")]
     InvalidResponseBody,
-    #[error("too long a list")]
-    ResponseTooLong,
-    #[error("status {0}")]
+    #[error("response exceeds the size limit")]
+    ResponseTooLarge,
+    #[error("unexpected status {0}")]
     UnexpectedStatus(u16),
     #[error(transparent)]
     InvalidJson(#[from] serde_json::Error),
--- a/proxy/src/discovery/remembered_list.rs
+++ b/proxy/src/discovery/list_cache.rs
@@ -1,16 +1,16 @@
-//! The entries of the endpoint list as they came, unknown fields included, for the process after this one.
+//! The raw entries of the endpoint list, including unknown fields, kept for the next process of an upgrade.
 
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
 
-/// The current entries, by the id of their endpoint.
+/// The current entries, keyed by endpoint id.
 #[derive(Default)]
-pub(super) struct RememberedList {
+pub(super) struct EndpointListCache {
     entries: BTreeMap<String, Value>,
 }
 
-impl RememberedList {
-    /// Takes over a list: complete, or what has changed.
+impl EndpointListCache {
+    /// Merges a received list, which is complete or a list of changes.
     pub(super) fn merge(&mut self, list: &Value) {
         if list.get("whole") == Some(&Value::Bool(true)) {
             self.entries.clear();
@@ -28,7 +28,7 @@
         }
     }
 
-    /// A complete list of the current entries.
+    /// Returns the current entries as a complete list.
     pub(super) fn to_json(&self, sequence_number: u64) -> Value {
         let entries: Vec<&Value> = self.entries.values().collect();
         json!({"seq": sequence_number, "whole": true, "hosts": entries})
--- a/proxy/src/discovery/mod.rs
+++ b/proxy/src/discovery/mod.rs
@@ -1,52 +1,52 @@
 //! Service discovery: polls the discovery agent for the endpoint list and watches it for changes.
 //!
-//! One poll at a time is in flight, over one connection that is kept between polls:
+//! At most one poll is in flight, on a persistent connection:
 //!
-//! - `schedule` chooses what the next poll asks for, and how long it may take.
+//! - `schedule` determines the request and the deadline of the next poll.
 //! - `connection` writes the request and reads the response.
-//! - `response` reads the endpoint list from a response.
-//! - `poll` drives these on the event loop: deadlines, failures, and the next poll.
-//! - `apply` takes a list over into the load balancer and the connection pools.
-//! - `remembered_list` keeps the list for the process that follows an upgrade.
+//! - `response` parses the endpoint list of a response.
+//! - `poll` runs polls on the event loop and handles deadlines and failures.
+//! - `apply` applies a list to the load balancer and the connection pools.
+//! - `list_cache` keeps the raw list for the next process of an upgrade.
 
 mod apply;
 mod connection;
 mod error;
+mod list_cache;
 mod poll;
-mod remembered_list;
 mod response;
-/// Content, deadline and backoff of the next discovery poll.
+/// The request, hold time and response grace of discovery polls.
 pub mod schedule;
 
 use crate::discovery::connection::DiscoveryConnection;
-use crate::discovery::remembered_list::RememberedList;
+use crate::discovery::list_cache::EndpointListCache;
 use crate::discovery::schedule::{PollOutcome, PollRequest};
 use crate::endpoint_list::EndpointList;
 use crate::timers::TimerKey;
 use serde_json::Value;
 use std::net::SocketAddr;
 
-/// State of the watch on the endpoint list.
+/// The state of service discovery.
 pub struct Discovery {
     address: SocketAddr,
     connection: DiscoveryConnection,
     poll_in_flight: Option<PollInFlight>,
-    /// How the last finished poll of this address ended.
+    /// The outcome of the last poll of this address.
     last_outcome: PollOutcome,
-    /// Version of the last list applied; none where a complete list is needed next.
+    /// Version of the last list applied; `None` if the next poll must request a complete list.
     sequence_number: Option<u64>,
-    remembered_list: RememberedList,
+    list_cache: EndpointListCache,
     first_poll_finished: bool,
 }
 
-/// A poll that has no outcome yet.
+/// A poll whose response is outstanding.
 struct PollInFlight {
     started_at_ms: f64,
     deadline: TimerKey,
 }
 
 impl Discovery {
-    /// A watch on the list of the agent at an address, before its first poll.
+    /// Discovery at the address of an agent, before the first poll.
     pub fn new(address: SocketAddr) -> Self {
         Discovery {
             address,
@@ -54,33 +54,34 @@
             poll_in_flight: None,
             last_outcome: PollOutcome::Succeeded,
             sequence_number: None,
-            remembered_list: RememberedList::default(),
+            list_cache: EndpointListCache::default(),
             first_poll_finished: false,
         }
     }
 
-    /// Polls for changes after a list that is known from elsewhere, if that list is complete.
+    /// Makes the next poll request the changes since a list that was not received by this process. If that list is
+    /// incomplete, the next poll requests a complete one.
     pub fn resume_after(&mut self, list: &EndpointList) {
         self.sequence_number = list.complete.then_some(list.sequence_number);
     }
 
-    /// Remembers a list as it came, for [`Discovery::complete_list`].
-    pub fn remember_list(&mut self, list: &Value) {
-        self.remembered_list.merge(list);
+    /// Adds a raw list to the cache for [`Discovery::complete_list`].
+    pub fn cache_list(&mut self, list: &Value) {
+        self.list_cache.merge(list);
     }
 
-    /// The current endpoint list, in the form in which discovery gives it.
+    /// Returns the current endpoint list in the discovery format.
     pub fn complete_list(&self) -> Value {
-        self.remembered_list
+        self.list_cache
             .to_json(self.sequence_number.unwrap_or_default())
     }
 
-    /// Whether any poll since the start of the process has ended, successfully or not.
+    /// Whether a poll of this process has finished, successfully or not.
     pub fn first_poll_finished(&self) -> bool {
         self.first_poll_finished
     }
 
-    /// Whether the connection to the agent is open, or being opened.
+    /// Whether the connection to the agent is open or being opened.
     pub(crate) fn is_connected(&self) -> bool {
         self.connection.is_open()
     }
--- a/proxy/src/discovery/poll.rs
+++ b/proxy/src/discovery/poll.rs
@@ -1,8 +1,8 @@
-//! Polls on the event loop: one after the other, each with a deadline.
+//! Polls on the event loop: at most one at a time, each with a deadline.
 
 use super::connection::Progress;
 use super::error::PollError;
-use super::response::read_endpoint_list;
+use super::response::parse_endpoint_list;
 use super::schedule::{response_grace_ms, PollOutcome, MIN_POLL_INTERVAL_MS};
 use super::PollInFlight;
 use crate::descriptors::DescriptorPurpose;
@@ -12,8 +12,8 @@
 use std::net::SocketAddr;
 
 impl Proxy {
-    /// Begins a poll, unless one is in flight: for the complete list first, then for changes.
-    pub fn poll_endpoints(&mut self) {
+    /// Starts a poll unless one is in flight.
+    pub fn poll_discovery(&mut self) {
         if self.discovery.poll_in_flight.is_some() {
             return;
         }
@@ -41,22 +41,21 @@
         self.discovery_event();
     }
 
-    /// Watches the list at an address, as a reload names it. The endpoints known so far stay until the agent
-    /// there has answered.
-    pub fn watch_discovery(&mut self, address: SocketAddr) {
+    /// Switches to the discovery agent at an address. The current endpoints stay until the new agent responds.
+    pub fn set_discovery_address(&mut self, address: SocketAddr) {
         if self.discovery.address == address {
             return;
         }
-        // Versions of the old agent need not be those of the new one.
+        // The new agent may number its versions differently.
         self.disconnect_from_discovery();
         self.end_poll();
         self.discovery.address = address;
         self.discovery.sequence_number = None;
         if self.discovery.last_outcome == PollOutcome::TimedOut {
-            // That it was slow is known of the old agent only.
+            // The longer grace after a timeout applies to the old agent only.
             self.discovery.last_outcome = PollOutcome::Failed;
         }
-        self.poll_endpoints();
+        self.poll_discovery();
     }
 
     /// Handles an event on the connection to discovery.
@@ -82,7 +81,7 @@
         self.replenish_reserve_of(DescriptorPurpose::Discovery);
     }
 
-    /// Ends the poll in flight, whatever came of it.
+    /// Clears the poll in flight and its deadline.
     fn end_poll(&mut self) -> Option<PollInFlight> {
         let poll = self.discovery.poll_in_flight.take()?;
         self.timers.cancel(Some(poll.deadline));
@@ -93,7 +92,7 @@
         log::warn!("discovery: {error}");
         self.disconnect_from_discovery();
         self.end_poll();
-        self.note_finished_poll();
+        self.mark_first_poll_finished();
         self.discovery.last_outcome = match error {
             PollError::TimedOut => PollOutcome::TimedOut,
             _ => PollOutcome::Failed,
@@ -103,8 +102,8 @@
         self.dispatcher.discovery_failed(now);
     }
 
-    /// Clients are accepted once the first poll has ended, successfully or not.
-    fn note_finished_poll(&mut self) {
+    /// Records that a poll has finished. The first one, successful or not, starts accepting clients.
+    fn mark_first_poll_finished(&mut self) {
         if !self.discovery.first_poll_finished {
             self.discovery.first_poll_finished = true;
             self.listen_after_first_list();
@@ -117,11 +116,11 @@
             return;
         };
         let keep_alive = response.keep_alive;
-        let result = read_endpoint_list(&response, &mut self.name_index);
+        let result = parse_endpoint_list(&response, &mut self.name_index);
         self.discovery.connection.shrink_receive_buffer();
         let list = match result {
             Ok((json, list)) => {
-                self.discovery.remember_list(&json);
+                self.discovery.cache_list(&json);
                 list
             }
             Err(error) => return self.poll_failed(&error),
@@ -134,28 +133,28 @@
         };
         self.discovery.last_outcome = PollOutcome::Succeeded;
         self.counters.endpoint_lists_received += 1;
-        self.take_over_list(&list, now, now - poll.started_at_ms);
+        self.handle_endpoint_list(&list, now, now - poll.started_at_ms);
     }
 
-    /// Applies a list that came at `now`, so long after its poll began, and begins the next poll.
-    fn take_over_list(&mut self, list: &EndpointList, now: f64, poll_duration_ms: f64) {
-        let known = self.discovery.sequence_number;
-        if !list.complete && known.is_some_and(|known| list.sequence_number < known) {
-            // These are versions of another discovery, so none of its changes since ours can be known.
+    /// Applies a list received at `now` and starts the next poll.
+    fn handle_endpoint_list(&mut self, list: &EndpointList, now: f64, poll_duration_ms: f64) {
+        let current = self.discovery.sequence_number;
+        if !list.complete && current.is_some_and(|current| list.sequence_number < current) {
+            // The version went backwards, so the agent's numbering has changed: request a complete list.
             self.discovery.sequence_number = None;
-            return self.poll_endpoints();
+            return self.poll_discovery();
         }
-        let unchanged = known == Some(list.sequence_number);
+        let unchanged = current == Some(list.sequence_number);
         self.discovery.sequence_number = Some(list.sequence_number);
         self.apply_endpoint_list(list, false);
-        self.note_finished_poll();
+        self.mark_first_poll_finished();
         if unchanged && poll_duration_ms < MIN_POLL_INTERVAL_MS {
             self.timers
                 .set(now + MIN_POLL_INTERVAL_MS, |proxy: &mut Proxy| {
-                    proxy.poll_endpoints()
+                    proxy.poll_discovery()
                 });
         } else {
-            self.poll_endpoints();
+            self.poll_discovery();
         }
     }
 }
--- a/proxy/src/discovery/response.rs
+++ b/proxy/src/discovery/response.rs
@@ -1,4 +1,4 @@
-//! Reads the endpoint list from a response of discovery.
+//! Parses the endpoint list of a discovery response.
 
 use super::connection::PollResponse;
 use super::error::PollError;
@@ -6,12 +6,12 @@
 use crankmux::settings::NameIndex;
 use serde_json::Value;
 
-/// Reads a response: the list as JSON, and typed.
+/// Returns the endpoint list of a response, as JSON and parsed.
 ///
 /// # Errors
 ///
-/// The status is not 200, or the body is not an endpoint list.
-pub(super) fn read_endpoint_list(
+/// Fails if the status is not 200 or the body is not an endpoint list.
+pub(super) fn parse_endpoint_list(
     response: &PollResponse<'_>,
     names: &mut NameIndex,
 ) -> Result<(Value, EndpointList), PollError> {
--- a/proxy/src/discovery/schedule.rs
+++ b/proxy/src/discovery/schedule.rs
@@ -1,39 +1,39 @@
-//! What a poll asks for, and how long polls wait.
+//! The requests of discovery polls, and how long to wait for their responses.
 
-/// How long a watch is held open by discovery, in milliseconds. Once it is over, an agent that is silent counts
-/// as failed, so a short hold detects a silent agent early.
+/// How long the agent may hold a watch open, in milliseconds. An unresponsive agent is detected only after the hold,
+/// so the hold is short.
 pub const WATCH_HOLD_MS: f64 = 2000.0;
-/// How much later than its hold a response may come, in milliseconds. The agent runs on this machine and answers
-/// at once.
+/// How long to wait for a response after the hold, in milliseconds. The agent runs on the same host and responds
+/// immediately.
 const RESPONSE_GRACE_MS: f64 = 500.0;
-/// How much longer the grace is after a timeout: an agent that is always slow would otherwise never be read.
+/// Multiplier of the grace after a timeout, so that polls of a consistently slow agent can succeed.
 const GRACE_FACTOR_AFTER_TIMEOUT: f64 = 2.0;
-/// The shortest interval between watches that end at once without a change, in milliseconds: it keeps the proxy
-/// from spinning, and is well within the 200 ms after which a new watch must begin.
+/// Minimum interval between polls if the agent responds immediately without a change, in milliseconds. It prevents a
+/// busy loop; a new watch must begin within 200 ms.
 pub const MIN_POLL_INTERVAL_MS: f64 = 50.0;
 
-/// How a poll ended.
+/// The outcome of a poll.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PollOutcome {
-    /// A list was read.
+    /// An endpoint list was received.
     Succeeded,
-    /// The connection or the response was faulty.
+    /// The connection failed or the response was invalid.
     Failed,
-    /// There was no response before the deadline.
+    /// The deadline passed without a complete response.
     TimedOut,
 }
 
-/// What a poll asks for.
+/// The request of a poll.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PollRequest {
     /// All endpoints.
     CompleteList,
-    /// What has changed since a version, answered at once.
+    /// Changes since a version, without a hold.
     Changes {
         /// The version of the last list applied.
         since: u64,
     },
-    /// What has changed since a version, as soon as anything has, or once [`WATCH_HOLD_MS`] is over.
+    /// Changes since a version, held until there is one or [`WATCH_HOLD_MS`] has passed.
     Watch {
         /// The version of the last list applied.
         since: u64,
@@ -41,7 +41,7 @@
 }
 
 impl PollRequest {
-    /// The next request, after a list of that version was applied, if any was.
+    /// The next request, given the version of the last list applied.
     pub fn next(
         sequence_number: Option<u64>,
         first_poll_finished: bool,
@@ -50,16 +50,16 @@
         let Some(since) = sequence_number else {
             return PollRequest::CompleteList;
         };
-        // At the start only changes since the known list: a rollout in which all proxies ask for complete lists
-        // at once would overload discovery. After a failure without a hold: each of several failures in a row
-        // would otherwise take a whole hold to show.
+        // The first poll requests changes since the known list, because complete lists for all proxies of a rollout
+        // would overload discovery. After a failure there is no hold, so that a further failure is detected without
+        // waiting for it.
         if !first_poll_finished || last_outcome != PollOutcome::Succeeded {
             return PollRequest::Changes { since };
         }
         PollRequest::Watch { since }
     }
 
-    /// The request target.
+    /// The HTTP request target.
     pub fn target(self) -> String {
         match self {
             PollRequest::CompleteList => "/catalog/members".to_string(),
@@ -70,7 +70,7 @@
         }
     }
 
-    /// How long discovery may hold the request, in milliseconds.
+    /// How long the agent may hold the request, in milliseconds.
     pub fn hold_ms(self) -> f64 {
         match self {
             PollRequest::CompleteList | PollRequest::Changes { .. } => 0.0,
@@ -79,7 +79,7 @@
     }
 }
 
-/// How much later than its hold the response to the next poll may come, in milliseconds.
+/// How long to wait for the response to the next poll after its hold, in milliseconds.
 pub fn response_grace_ms(last_outcome: PollOutcome) -> f64 {
     if last_outcome == PollOutcome::TimedOut {
         GRACE_FACTOR_AFTER_TIMEOUT * RESPONSE_GRACE_MS
--- a/proxy/src/event_loop.rs
+++ b/proxy/src/event_loop.rs
@@ -54,7 +54,7 @@
             self.follow_steps(request, steps);
         }
         if self.dispatcher.take_list_request() {
-            self.poll_endpoints();
+            self.poll_discovery();
         }
         self.send_load_probes();
         self.run_cluster();
--- a/proxy/src/lifecycle/reload.rs
+++ b/proxy/src/lifecycle/reload.rs
@@ -68,7 +68,7 @@
     proxy.reload_cluster(cluster_config);
     // The new settings tell another number of proxies; the cluster's own estimate takes precedence over it.
     proxy.apply_process_share();
-    proxy.watch_discovery(new.discovery);
+    proxy.set_discovery_address(new.discovery);
     log::info!("configuration read again; discovery at {}", new.discovery);
     Ok(())
 }
--- a/proxy/src/proxy.rs
+++ b/proxy/src/proxy.rs
@@ -264,7 +264,7 @@
             inherited.endpoint_list
         };
         if endpoint_list.is_null() {
-            self.poll_endpoints();
+            self.poll_discovery();
         } else {
             self.apply_known_endpoints(&endpoint_list)?;
         }
@@ -274,7 +274,7 @@
 
     fn apply_known_endpoints(&mut self, known: &Value) -> Result<(), ProxyError> {
         let list = EndpointList::from_json(&mut self.name_index, known)?;
-        self.discovery.remember_list(known);
+        self.discovery.cache_list(known);
         self.discovery.resume_after(&list);
         self.apply_endpoint_list(&list, true);
         Ok(())
--- a/proxy/tests/control/remembered_list.rs
+++ b/proxy/tests/control/remembered_list.rs
@@ -6,7 +6,7 @@
 fn discovery_after(lists: &[Value]) -> Discovery {
     let mut discovery = Discovery::new("127.0.0.1:1".parse().expect("an address"));
     for list in lists {
-        discovery.remember_list(list);
+        discovery.cache_list(list);
     }
     discovery
 }
