--- a/proxy/src/event_loop.rs
+++ b/proxy/src/event_loop.rs
@@ -54,7 +54,7 @@
             self.follow_steps(request, steps);
         }
         if self.dispatcher.take_list_request() {
-            self.poll_endpoints();
+            self.poll_discovery();
         }
         self.send_load_probes();
         self.run_cluster();
@@ -109,7 +109,7 @@
     /// whose drain lies ready from discovery.
     fn dispatch_control_event(&mut self, source: EventSource) -> bool {
         match source {
-            EventSource::AdminListener => self.accept_admin_callers(),
+            EventSource::AdminListener => self.accept_admin_connections(),
             EventSource::AdminCaller(slot) => self.admin_event(slot),
             EventSource::UpgradeListener => self.accept_newer_process(),
             EventSource::NewerProcess => self.newer_process_event(),
--- a/proxy/src/lifecycle/reload.rs
+++ b/proxy/src/lifecycle/reload.rs
@@ -68,7 +68,7 @@
     proxy.reload_cluster(cluster_config);
     // The configured number of proxies may have changed; the cluster's estimate takes precedence.
     proxy.apply_process_share();
-    proxy.watch_discovery(new.discovery);
+    proxy.set_discovery_address(new.discovery);
     log::info!("configuration read again; discovery at {}", new.discovery);
     Ok(())
 }
