--- a/simulator/src/endpoint.rs
+++ b/simulator/src/endpoint.rs
@@ -1,61 +1,61 @@
-//! One endpoint: cores, a bounded queue, slow start, pauses, a cache of keys, and degradation by long waits.
+//! Model of one endpoint: cores, a bounded queue, slow start, pauses, a key cache, and degradation after long waits.
 
 use crate::script::{DeduplicationScope, Degradation, Limits, MachineType};
 use std::collections::VecDeque;
 
-/// Load measurements that are kept, at most.
+/// Maximum number of load samples retained.
 const MAX_LOAD_SAMPLES: usize = 256;
 
-/// One attempt at an endpoint.
+/// The work of one attempt at an endpoint.
 #[derive(Clone, Copy, Debug)]
 pub struct Job {
-    /// The index of its request.
+    /// Index of the request.
     pub request: usize,
-    /// The serial number of its request; indices are used again.
+    /// Serial number of the request, since indices are reused.
     pub serial: u64,
-    /// The number of the attempt.
+    /// Number of the attempt within the request.
     pub attempt: usize,
-    /// Its work on a core of speed one.
+    /// Execution time on a core of speed one.
     pub work_ms: f64,
-    /// When it arrived.
+    /// When it arrived at the endpoint.
     pub arrived_at: f64,
-    /// When its client stops waiting.
+    /// Deadline of the request.
     pub deadline: f64,
-    /// What the request is about; 0 for nothing.
+    /// Key of the request; 0 if it has none.
     pub key: u64,
-    /// Factor on the work where the key is not cached.
+    /// Multiplies the work if the key is not cached.
     pub key_miss_factor: f64,
 }
 
-/// A job on a core.
+/// A job that occupies a core.
 #[derive(Clone, Copy, Debug)]
 pub struct RunningJob {
     /// The job.
     pub job: Job,
-    /// When it is done.
+    /// Scheduled completion time.
     pub finishes_at: f64,
-    /// Counts the jobs that were started here.
+    /// Sequence number among the jobs started by this endpoint.
     pub number: u64,
 }
 
-/// What the active faults do to an endpoint.
+/// Combined effect of the active faults on an endpoint.
 #[derive(Clone, Copy, Debug)]
 pub struct EndpointFaults {
-    /// Work takes so many times as long.
+    /// Multiplies execution times.
     pub slowdown: f64,
-    /// Probability that it answers with an error at once.
+    /// Probability that an attempt fails immediately.
     pub failure_probability: f64,
-    /// The machine neither receives nor sends.
+    /// The machine neither receives nor sends messages.
     pub unresponsive: bool,
     /// Probability that a response is lost.
     pub response_loss: f64,
-    /// Probability that a connection is reset under its request.
+    /// Probability that a connection is reset while it carries a request.
     pub reset_probability: f64,
-    /// How much older load reports are.
+    /// Additional age of load reports.
     pub report_delay_ms: f64,
-    /// Load reports are so many times the true load.
+    /// Multiplies the load in reports.
     pub report_factor: f64,
-    /// There are no load reports.
+    /// Load reports are not sent.
     pub reports_missing: bool,
 }
 
@@ -74,35 +74,35 @@
     }
 }
 
-/// What became of a job when its turn came.
+/// Result of removing a job from the queue.
 pub enum Dequeued {
-    /// A core executes it.
+    /// It started on a core.
     Started(RunningJob),
     /// Its deadline had passed.
     Expired(Job),
 }
 
-/// What a job that was to finish has come to.
+/// State of a job at its scheduled completion time.
 #[derive(Clone, Copy, Debug)]
 pub enum Completion {
-    /// It is done.
+    /// The job has finished.
     Finished(Job),
-    /// It was cancelled before.
+    /// The job was cancelled earlier.
     Cancelled,
-    /// The endpoint pauses until this time.
+    /// The endpoint is paused until this time.
     PausedUntil(f64),
 }
 
 /// The load that an endpoint reports.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ReportedLoad {
-    /// Requests executed or waiting.
+    /// Requests running or queued.
     pub in_flight: f64,
-    /// Requests waiting.
+    /// Requests queued.
     pub queued: f64,
 }
 
-/// Load as measured at a time.
+/// A measurement of the load.
 #[derive(Clone, Copy, Debug)]
 struct LoadSample {
     measured_at: f64,
@@ -110,31 +110,31 @@
     queued: usize,
 }
 
-/// One endpoint.
+/// State of one endpoint.
 pub struct Endpoint {
     /// Its machine type.
     pub machine: MachineType,
-    /// The number by which all proxies know it.
+    /// Hash that identifies the endpoint at all proxies.
     pub stable_hash: u64,
-    /// The index of its zone.
+    /// Index of its zone.
     pub zone: usize,
-    /// The index of its pod.
+    /// Index of its pod.
     pub pod: usize,
-    /// Time of its last start; 0 for long ago.
+    /// Time of its last start; 0 if it has been warm since before the run.
     pub started_at: f64,
-    /// Whether its process runs.
+    /// Whether its process is running.
     pub up: bool,
-    /// Counts its starts: what was sent to an earlier one is lost.
+    /// Incremented by each crash; messages to an earlier incarnation are lost.
     pub incarnation: u32,
-    /// Connections open to it.
+    /// Open connections.
     pub connections: usize,
-    /// Attempts on their way to it.
+    /// Attempts sent to it that have not arrived yet.
     pub attempts_in_transit: usize,
-    /// What the active faults do to it.
+    /// Combined effect of the active faults.
     pub faults: EndpointFaults,
-    /// No core makes progress before this.
+    /// No job completes before this time.
     pub paused_until: f64,
-    /// A wait that was too long has made it slow.
+    /// Whether it runs at reduced speed after a long queue wait.
     pub degraded: bool,
     cold_capacity_fraction: f64,
     slow_start_ms: f64,
@@ -142,13 +142,13 @@
     running: Vec<RunningJob>,
     jobs_started: u64,
     lightly_loaded_since: Option<f64>,
-    /// Direct-mapped; 0 stands for an empty place.
+    /// Direct-mapped cache; 0 marks an empty slot.
     cached_keys: Vec<u64>,
     load_samples: VecDeque<LoadSample>,
 }
 
 impl Endpoint {
-    /// An endpoint that started at a time; 0 for long ago.
+    /// Creates an endpoint that started at `started_at`; 0 if it is warm already.
     pub fn new(
         machine: &MachineType,
         limits: &Limits,
@@ -181,7 +181,7 @@
         }
     }
 
-    /// The number of its group of endpoints, within which repeats of a request are dropped.
+    /// Returns the group of endpoints within which duplicates of a request are dropped.
     pub fn deduplication_group(&self, scope: DeduplicationScope) -> u64 {
         match scope {
             DeduplicationScope::Fleet => 0,
@@ -190,17 +190,17 @@
         }
     }
 
-    /// Requests executed or waiting.
+    /// Number of requests running or queued.
     pub fn in_flight(&self) -> usize {
         self.queue.len() + self.running.len()
     }
 
-    /// Whether it takes no more requests.
+    /// Whether all cores and the queue are occupied.
     fn is_full(&self) -> bool {
         self.in_flight() >= self.machine.cores + self.machine.queue_capacity
     }
 
-    /// What it can do now, as a fraction of what it does when warm.
+    /// Current capacity as a fraction of its capacity when warm.
     pub fn warmth(&self, now: f64) -> f64 {
         if self.started_at <= 0.0 {
             return 1.0;
@@ -209,16 +209,16 @@
         self.cold_capacity_fraction + (1.0 - self.cold_capacity_fraction) * progress
     }
 
-    /// Work that a core does a millisecond now.
+    /// Current speed of one core, relative to a core of speed one.
     pub fn speed(&self, now: f64) -> f64 {
         let degradation = self.machine.degradation.filter(|_| self.degraded);
-        let degraded = degradation.map_or(1.0, |degradation| degradation.speed_fraction);
-        self.machine.speed * self.warmth(now) * degraded / self.faults.slowdown
+        let degradation_factor = degradation.map_or(1.0, |degradation| degradation.speed_fraction);
+        self.machine.speed * self.warmth(now) * degradation_factor / self.faults.slowdown
     }
 
-    /// Takes a job into the queue; false where that is full, and then the job never runs.
+    /// Adds a job to the queue. Returns false, and drops the job, if the queue is full.
     pub fn enqueue(&mut self, now: f64, job: Job) -> bool {
-        self.recover(now);
+        self.update_recovery(now);
         if self.is_full() {
             return false;
         }
@@ -226,7 +226,7 @@
         true
     }
 
-    /// Gives a free core the next job.
+    /// Starts the next queued job if a core is free.
     pub fn start_next(&mut self, now: f64) -> Option<Dequeued> {
         if self.running.len() >= self.machine.cores {
             return None;
@@ -235,8 +235,8 @@
         if self.machine.drops_expired && job.deadline <= now {
             return Some(Dequeued::Expired(job));
         }
-        self.degrade_after_wait(now - job.arrived_at);
-        let key_factor = self.look_up_key(&job);
+        self.update_degradation(now - job.arrived_at);
+        let key_factor = self.key_work_factor(&job);
         let work_ms = job.work_ms * key_factor;
         let finishes_at = now.max(self.paused_until) + work_ms / self.speed(now).max(1e-6);
         self.jobs_started += 1;
@@ -249,8 +249,8 @@
         Some(Dequeued::Started(running))
     }
 
-    /// A long wait makes a machine slow that degrades, beyond the end of the waiting.
-    fn degrade_after_wait(&mut self, waited_ms: f64) {
+    /// Marks the machine as degraded if a job waited longer than its limit.
+    fn update_degradation(&mut self, waited_ms: f64) {
         let degrades = |degradation: Degradation| waited_ms > degradation.queue_wait_ms;
         if self.machine.degradation.is_some_and(degrades) {
             self.degraded = true;
@@ -258,13 +258,13 @@
         }
     }
 
-    /// Caches the key of a job. Returns the factor on its work.
-    fn look_up_key(&mut self, job: &Job) -> f64 {
+    /// Looks up the key of a job and caches it. Returns the factor for the job's work.
+    fn key_work_factor(&mut self, job: &Job) -> f64 {
         if job.key == 0 {
             return 1.0;
         }
-        let place = (job.key % self.cached_keys.len() as u64) as usize;
-        let cached = std::mem::replace(&mut self.cached_keys[place], job.key);
+        let slot = (job.key % self.cached_keys.len() as u64) as usize;
+        let cached = std::mem::replace(&mut self.cached_keys[slot], job.key);
         if cached == job.key {
             1.0
         } else {
@@ -272,8 +272,8 @@
         }
     }
 
-    /// Little load for long enough ends degradation.
-    fn recover(&mut self, now: f64) {
+    /// Ends degradation once the load has been low for the recovery time.
+    fn update_recovery(&mut self, now: f64) {
         let Some(degradation) = self.machine.degradation else {
             return;
         };
@@ -287,41 +287,45 @@
         }
     }
 
-    /// Completes a running job by its number, unless it was cancelled or the endpoint pauses.
+    /// Completes a running job, unless it was cancelled or the endpoint is paused.
     pub fn complete(&mut self, now: f64, job_number: u64) -> Completion {
-        let is_it = |running: &RunningJob| running.number == job_number;
-        let Some(place) = self.running.iter().position(is_it) else {
+        let is_requested = |running: &RunningJob| running.number == job_number;
+        let Some(index) = self.running.iter().position(is_requested) else {
             return Completion::Cancelled;
         };
         if now < self.paused_until {
             return Completion::PausedUntil(self.paused_until);
         }
-        let running = self.running.swap_remove(place);
-        self.recover(now);
+        let running = self.running.swap_remove(index);
+        self.update_recovery(now);
         Completion::Finished(running.job)
     }
 
-    /// Cancels an attempt: true where it will not run here, or has stopped.
+    /// Cancels an attempt. Returns true if it was removed from the queue or its execution was stopped.
     pub fn cancel(&mut self, now: f64, request: usize, serial: u64, attempt: usize) -> bool {
-        let is_it =
+        let is_requested =
             |job: &Job| job.request == request && job.serial == serial && job.attempt == attempt;
-        if let Some(place) = self.queue.iter().position(is_it) {
-            self.queue.remove(place);
-            self.recover(now);
+        if let Some(index) = self.queue.iter().position(is_requested) {
+            self.queue.remove(index);
+            self.update_recovery(now);
             return true;
         }
         if !self.machine.stops_cancelled_work {
             return false;
         }
-        let Some(place) = self.running.iter().position(|running| is_it(&running.job)) else {
+        let Some(index) = self
+            .running
+            .iter()
+            .position(|running| is_requested(&running.job))
+        else {
             return false;
         };
-        self.running.swap_remove(place);
-        self.recover(now);
+        self.running.swap_remove(index);
+        self.update_recovery(now);
         true
     }
 
-    /// The process dies. Returns all that it held: first what waited, then what ran.
+    /// Terminates the process. Returns the jobs lost: queued ones first, then running ones.
     pub fn crash(&mut self) -> Vec<Job> {
         self.up = false;
         self.incarnation += 1;
@@ -336,7 +340,7 @@
         queued.into_iter().chain(running).collect()
     }
 
-    /// The load that it reports: the newest measurement that is older than the delay.
+    /// Returns the newest load sample that is at least as old as the report delay.
     pub fn report_load(
         &mut self,
         now: f64,
@@ -353,7 +357,7 @@
         }
         let latest = now - delay_ms - self.faults.report_delay_ms;
         let is_old_enough = |sample: &LoadSample| sample.measured_at <= latest;
-        // Measurements before the newest that is old enough are not reported any more.
+        // Samples before the newest one that is old enough will not be reported again.
         while self.load_samples.get(1).is_some_and(is_old_enough)
             || self.load_samples.len() > MAX_LOAD_SAMPLES
         {
--- a/simulator/src/environment/clients.rs
+++ b/simulator/src/environment/clients.rs
@@ -69,7 +69,7 @@
             let burst = burst_factor(&load.bursts, second).unwrap_or(1.0);
             let rate = self.script.rate() / 1000.0 * wave * burst;
             if second > self.script.duration_s
-                || self.random.arrivals.unit() * self.peak_rate < rate
+                || self.random.arrivals.uniform() * self.peak_rate < rate
             {
                 break;
             }
@@ -115,8 +115,8 @@
             work_factor,
             arrived_at: self.now,
             requests_sent: 0,
-            honours_retry_after: clients.chance(script.clients.honours_retry_after_fraction),
-            impatient: clients.chance(script.clients.impatient_fraction),
+            honours_retry_after: clients.bernoulli(script.clients.honours_retry_after_fraction),
+            impatient: clients.bernoulli(script.clients.impatient_fraction),
         }
     }
 
@@ -124,7 +124,7 @@
     fn draw_key(&mut self, second: f64) -> u64 {
         let load = &self.script.load;
         let hot_fraction = burst_factor(&load.hot_key, second).unwrap_or(0.0);
-        let hot = self.random.arrivals.chance(hot_fraction);
+        let hot = self.random.arrivals.bernoulli(hot_fraction);
         if load.key_count == 0 {
             return 0;
         }
@@ -239,7 +239,7 @@
         } else {
             backoff_ms
         };
-        let delay_ms = delay_ms * (0.75 + 0.5 * self.random.clients.unit());
+        let delay_ms = delay_ms * (0.75 + 0.5 * self.random.clients.uniform());
         self.schedule(
             delay_ms + 2.0 * CLIENT_DELAY_MS,
             Event::CallRetries { call },
--- a/simulator/src/environment/discovery.rs
+++ b/simulator/src/environment/discovery.rs
@@ -66,7 +66,7 @@
 
     pub(super) fn schedule_notification(&mut self, proxy: usize, full_list: bool) {
         let mean_ms = self.script.discovery.notification_delay_ms;
-        let delay_ms = mean_ms * (1.0 + self.random.discovery.unit());
+        let delay_ms = mean_ms * (1.0 + self.random.discovery.uniform());
         self.schedule(delay_ms, Event::ProxyNotified { proxy, full_list });
     }
 
--- a/simulator/src/environment/endpoints.rs
+++ b/simulator/src/environment/endpoints.rs
@@ -63,12 +63,12 @@
             self.settle_attempt(attempt);
             return true;
         }
-        if self.random.faults.chance(faults.reset_probability) {
+        if self.random.faults.bernoulli(faults.reset_probability) {
             self.settle_attempt(attempt);
             self.schedule_attempt_end(path_ms, attempt, AttemptOutcome::ConnectionLost);
             return true;
         }
-        if self.random.faults.chance(faults.failure_probability) {
+        if self.random.faults.bernoulli(faults.failure_probability) {
             self.settle_attempt(attempt);
             let delay_ms = path_ms + FAIL_FAST_MS;
             self.schedule_attempt_end(delay_ms, attempt, AttemptOutcome::Failed);
@@ -204,7 +204,7 @@
         let faults = self.endpoints[endpoint].faults;
         if faults.unresponsive
             || self.partitions.responses[from_zone][to_zone]
-            || self.random.faults.chance(faults.response_loss)
+            || self.random.faults.bernoulli(faults.response_loss)
         {
             return;
         }
--- a/simulator/src/environment/fault_schedule.rs
+++ b/simulator/src/environment/fault_schedule.rs
@@ -28,7 +28,7 @@
         for (index, endpoint) in self.endpoints.iter_mut().enumerate() {
             endpoint.faults = endpoint_faults(&active, index);
         }
-        self.partitions = Partitions::of(&active, script.zones.len());
+        self.partitions = Partitions::from_faults(&active, script.zones.len());
     }
 
     pub(super) fn begin_fault(&mut self, index: usize) {
@@ -113,7 +113,7 @@
             return;
         };
         for endpoint in active.targets.endpoints.clone() {
-            if self.random.faults.chance(PAUSE_PROBABILITY) {
+            if self.random.faults.bernoulli(PAUSE_PROBABILITY) {
                 self.pause_endpoint(endpoint, pause_ms);
             }
         }
--- a/simulator/src/faults.rs
+++ b/simulator/src/faults.rs
@@ -1,21 +1,21 @@
-//! Which endpoints and proxies a fault strikes, and what the active faults together do.
+//! Selection of fault targets, and the combined effect of the active faults.
 
 use crate::endpoint::{Endpoint, EndpointFaults};
 use crate::random::RandomStream;
 use crate::script::{Fault, FaultKind, Script};
 
-/// Whom a fault strikes.
+/// The endpoints and proxies that a fault affects.
 #[derive(Clone, Debug, Default)]
 pub struct FaultTargets {
-    /// Endpoints, in order of index.
+    /// Endpoint indices in ascending order.
     pub endpoints: Vec<usize>,
-    /// Proxies, in order of index.
+    /// Proxy indices in ascending order.
     pub proxies: Vec<usize>,
-    /// The zone, where the fault names one.
+    /// Index of the zone, if the fault names one.
     pub zone: Option<usize>,
 }
 
-/// Messages that are lost between zones: `[from][to]`.
+/// Zone pairs between which messages are lost, indexed `[from][to]`.
 #[derive(Clone, Debug)]
 pub struct Partitions {
     /// Requests from proxies of one zone to endpoints of another.
@@ -25,7 +25,7 @@
 }
 
 impl Partitions {
-    /// All zones reach each other.
+    /// No partition: all zones can reach each other.
     pub fn none(zones: usize) -> Self {
         Partitions {
             requests: vec![vec![false; zones]; zones],
@@ -33,8 +33,8 @@
         }
     }
 
-    /// What the active faults cut off.
-    pub fn of(active: &[(&Fault, &FaultTargets)], zones: usize) -> Self {
+    /// Combines the partitions of the active faults.
+    pub fn from_faults(active: &[(&Fault, &FaultTargets)], zones: usize) -> Self {
         let mut partitions = Partitions::none(zones);
         for (fault, targets) in active {
             let Some(zone) = targets.zone else { continue };
@@ -54,7 +54,7 @@
     }
 }
 
-/// Draws the targets of a fault when it begins, from a random stream of the fault's own.
+/// Selects the targets of a fault when it begins, using a random stream of its own.
 pub fn select_targets(
     script: &Script,
     fault_index: usize,
@@ -75,54 +75,56 @@
         endpoint.up && listed[*index] && of_type(endpoint) && in_zone(endpoint.zone)
     });
     let candidates = candidates.map(|(index, _)| index).collect();
-    let struck_endpoints = sample(candidates, fault.fraction, &mut random);
+    let sampled_endpoints = sample_fraction(candidates, fault.fraction, &mut random);
     let proxies = (0..script.proxies).filter(|proxy| in_zone(proxy % script.zones.len()));
     FaultTargets {
-        endpoints: struck_endpoints,
-        proxies: sample(proxies.collect(), fault.fraction, &mut random),
+        endpoints: sampled_endpoints,
+        proxies: sample_fraction(proxies.collect(), fault.fraction, &mut random),
         zone,
     }
 }
 
-/// Takes a fraction of the candidates from the start of a random order: a larger fraction contains a smaller one.
-fn sample(candidates: Vec<usize>, fraction: f64, random: &mut RandomStream) -> Vec<usize> {
+/// Samples a fraction of the candidates. For the same random stream, the sample for a larger fraction contains the
+/// sample for a smaller one.
+fn sample_fraction(candidates: Vec<usize>, fraction: f64, random: &mut RandomStream) -> Vec<usize> {
     let mut shuffled: Vec<(u64, usize)> = candidates
         .into_iter()
         .map(|candidate| (random.bits(), candidate))
         .collect();
     shuffled.sort_unstable();
     let count = (fraction * shuffled.len() as f64).round() as usize;
-    let mut taken: Vec<usize> = shuffled
+    let mut selected: Vec<usize> = shuffled
         .into_iter()
         .take(count)
         .map(|(_, candidate)| candidate)
         .collect();
-    taken.sort_unstable();
-    taken
+    selected.sort_unstable();
+    selected
 }
 
-/// The probability that at least one of two independent events happens.
-fn either(first: f64, second: f64) -> f64 {
+/// Probability that at least one of two independent events occurs.
+fn either_probability(first: f64, second: f64) -> f64 {
     1.0 - (1.0 - first) * (1.0 - second)
 }
 
-/// What the active faults do to one endpoint.
+/// Combines the effects of the active faults on one endpoint.
 pub fn endpoint_faults(active: &[(&Fault, &FaultTargets)], endpoint: usize) -> EndpointFaults {
     let mut faults = EndpointFaults::default();
-    let strikes = |targets: &FaultTargets| targets.endpoints.binary_search(&endpoint).is_ok();
-    for (fault, _) in active.iter().filter(|(_, targets)| strikes(targets)) {
+    let is_target = |targets: &FaultTargets| targets.endpoints.binary_search(&endpoint).is_ok();
+    for (fault, _) in active.iter().filter(|(_, targets)| is_target(targets)) {
         let strength = fault.strength;
         match fault.kind {
             FaultKind::Slow => faults.slowdown *= strength,
             FaultKind::FailFast => {
-                faults.failure_probability = either(faults.failure_probability, strength);
+                faults.failure_probability =
+                    either_probability(faults.failure_probability, strength);
             }
             FaultKind::Unresponsive => faults.unresponsive = true,
             FaultKind::ResponsesLost => {
-                faults.response_loss = either(faults.response_loss, strength);
+                faults.response_loss = either_probability(faults.response_loss, strength);
             }
             FaultKind::ConnectionResets => {
-                faults.reset_probability = either(faults.reset_probability, strength);
+                faults.reset_probability = either_probability(faults.reset_probability, strength);
             }
             FaultKind::LoadReportsLate => faults.report_delay_ms += 1000.0 * strength,
             FaultKind::LoadReportsWrong => faults.report_factor *= strength,
--- a/simulator/src/lib.rs
+++ b/simulator/src/lib.rs
@@ -1,22 +1,23 @@
-//! A discrete-event simulator of clients, proxies, discovery and endpoints, with faults and a checker of the rules.
+//! Discrete-event simulator of clients, proxies, discovery and endpoints, with fault injection and invariant checks.
 //!
-//! A [`script::Script`] describes one environment. [`environment::run`] runs it in virtual time with one policy, the
-//! decision module or a baseline, and returns [`results::RunResults`]. The same script, seed and policy give the same
-//! bytes. All times are f64 milliseconds unless a name says otherwise. Nothing here does I/O or reads a clock.
+//! A [`script::Script`] describes one environment. [`environment::run`] simulates it in virtual time with one load
+//! balancing policy, the decision module or a baseline, and returns [`results::RunResults`]. Runs are deterministic:
+//! the same script, seed and policy give byte-identical results. Times are `f64` milliseconds unless a name says
+//! otherwise. The library does no I/O and does not read the system clock.
 
-/// The model of one endpoint: cores, a bounded queue, slow start, pauses and a cache.
+/// The model of one endpoint: cores, a bounded queue, slow start, pauses and a key cache.
 pub mod endpoint;
-/// A simulation run in virtual time, driven by one event queue.
+/// The discrete-event simulation of one run.
 pub mod environment;
-/// Targets of faults, and the combined effect of the active ones.
+/// Selection of fault targets, and the combined effect of the active faults.
 pub mod faults;
-/// The invariant checker, which follows the history of every request.
+/// The invariant checker, which tracks the history of every request.
 pub mod invariants;
-/// Load balancing policies: the decision module, baselines, and deliberate rule breakers.
+/// Load balancing policies: the decision module, baselines, and policies that deliberately violate an invariant.
 pub mod policies;
-/// Random numbers in independent named streams.
+/// Independent, named random streams.
 pub mod random;
-/// The results of a run, as written to figures.json.
+/// The results of a run, as written to `figures.json`.
 pub mod results;
 /// Scripts: TOML descriptions of an environment and its faults.
 pub mod script;
