--- a/simulator/src/environment/proxies.rs
+++ b/simulator/src/environment/proxies.rs
@@ -181,7 +181,7 @@
         let Some(request) = self.requests.get_mut(request_index) else {
             return;
         };
-        self.checker.proxy_died(self.now, &mut request.history);
+        self.checker.proxy_crashed(self.now, &mut request.history);
         let was_open = request.is_open();
         request.abandoned = true;
         let call = request.call;
--- a/simulator/src/invariants/cold_start.rs
+++ b/simulator/src/invariants/cold_start.rs
@@ -1,11 +1,11 @@
-//! Work sent to endpoints that are still cold, within a sliding window.
+//! Work sent to cold endpoints within a sliding time window.
 
 use std::collections::VecDeque;
 
-/// The work sent to each cold endpoint by all proxies, in requests of mean work.
+/// Work sent to each cold endpoint by all proxies, in units of a request of mean work.
 pub(super) struct ColdStartLoad {
     window_ms: f64,
-    /// By endpoint: when, and how much.
+    /// Time and amount of work, by endpoint.
     sent: Vec<VecDeque<(f64, f64)>>,
 }
 
@@ -21,7 +21,7 @@
         self.window_ms
     }
 
-    /// Adds work that is sent to an endpoint. Returns what was sent to it within the window.
+    /// Records work sent to an endpoint. Returns the total sent to it within the window.
     pub(super) fn add(&mut self, now: f64, endpoint: usize, work: f64) -> f64 {
         if self.sent.len() <= endpoint {
             self.sent.resize_with(endpoint + 1, VecDeque::new);
@@ -35,7 +35,7 @@
         window.iter().map(|(_, work)| work).sum()
     }
 
-    /// Forgets what was sent to an endpoint that has died.
+    /// Clears the records of an endpoint.
     pub(super) fn clear(&mut self, endpoint: usize) {
         self.sent[endpoint].clear();
     }
--- a/simulator/src/invariants/history.rs
+++ b/simulator/src/invariants/history.rs
@@ -1,4 +1,4 @@
-//! The history of one request, as the checker sees it.
+//! The history of one request, as recorded by the checker.
 
 use crate::script::{DeduplicationScope, Idempotency, RequestClass};
 use crankmux::types::AttemptOutcome;
@@ -7,11 +7,11 @@
 /// The final answer to a request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Answer {
-    /// The response of an endpoint.
+    /// An endpoint's response.
     Succeeded,
-    /// A rejection: the client may safely retry.
+    /// Rejected: the client may safely retry.
     Rejected,
-    /// An error: the request may have been executed.
+    /// Failed: the request may have been executed.
     Failed,
 }
 
@@ -25,54 +25,54 @@
     }
 }
 
-/// What happened to a request.
+/// An event in the history of a request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum RequestEvent {
     /// A proxy received it.
     Received {
-        /// The proxy.
+        /// Index of the proxy.
         proxy: usize,
     },
     /// A proxy sent an attempt.
     AttemptStarted {
-        /// Its number.
+        /// Number of the attempt.
         attempt: usize,
-        /// Where to.
+        /// Index of the endpoint.
         endpoint: usize,
     },
-    /// An endpoint executed it.
+    /// An endpoint started to execute it.
     Executed {
-        /// The attempt.
+        /// Number of the attempt.
         attempt: usize,
-        /// The endpoint.
+        /// Index of the endpoint.
         endpoint: usize,
     },
-    /// An endpoint dropped it as a repeat.
+    /// An endpoint dropped it as a duplicate.
     Deduplicated {
-        /// The attempt.
+        /// Number of the attempt.
         attempt: usize,
-        /// The endpoint.
+        /// Index of the endpoint.
         endpoint: usize,
     },
-    /// A proxy learned how an attempt ended.
+    /// A proxy learned the outcome of an attempt.
     AttemptEnded {
-        /// The attempt.
+        /// Number of the attempt.
         attempt: usize,
-        /// How it ended.
+        /// The outcome.
         outcome: AttemptOutcome,
     },
-    /// The proxy gave its final answer.
+    /// A proxy gave the final answer.
     Answered {
         /// The answer.
         answer: Answer,
     },
-    /// The client left while the request waited.
+    /// The client disconnected before the final answer.
     ClientLeft,
-    /// The proxy died.
-    ProxyDied,
+    /// The proxy crashed.
+    ProxyCrashed,
 }
 
-/// The words of reports, which have been the same since the first version.
+/// The format of stored reports, which uses earlier names of these events.
 impl fmt::Display for RequestEvent {
     fn fmt(&self, formatter: &mut fmt::Formatter) -> fmt::Result {
         match self {
@@ -102,27 +102,27 @@
                 write!(formatter, "Answered {{ answer: {answer} }}")
             }
             RequestEvent::ClientLeft => formatter.write_str("ClientLeft"),
-            RequestEvent::ProxyDied => formatter.write_str("NodeDied"),
+            RequestEvent::ProxyCrashed => formatter.write_str("NodeDied"),
         }
     }
 }
 
-/// Whether and where a request may be executed again.
+/// How far it is safe to execute a request more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RetrySafety {
-    /// Anywhere.
+    /// Repeated execution is harmless.
     Idempotent,
-    /// Repeats are dropped within one group of endpoints for the length of a window.
+    /// Duplicates are dropped within a group of endpoints and a time window.
     Deduplicated {
-        /// All endpoints are one group.
+        /// Whether all endpoints form one group.
         fleet_wide: bool,
     },
-    /// Nowhere.
+    /// It must be executed at most once.
     NotIdempotent,
 }
 
 impl RetrySafety {
-    /// That of the requests of a class.
+    /// Returns the retry safety of a request class.
     pub fn of(class: &RequestClass) -> Self {
         match class.idempotency {
             Idempotency::Idempotent => RetrySafety::Idempotent,
@@ -139,7 +139,7 @@
     /// The endpoint's deduplication group.
     pub(super) group: u64,
     pub(super) started_at: f64,
-    /// How it ended, once the proxy knows.
+    /// The outcome, once the proxy has learned it.
     pub(super) outcome: Option<AttemptOutcome>,
 }
 
@@ -149,7 +149,7 @@
     }
 }
 
-/// One execution that had an effect.
+/// One execution that was not dropped as a duplicate.
 pub(super) struct Execution {
     pub(super) at: f64,
     /// The endpoint's deduplication group.
@@ -165,11 +165,11 @@
     pub(super) attempts: Vec<AttemptHistory>,
     pub(super) executions: Vec<Execution>,
     pub(super) answered: bool,
-    /// The client is gone, or the proxy has died: no answer is owed.
-    pub(super) excused: bool,
-    /// When the client left while the request waited.
+    /// The client has left or the proxy has crashed, so that no answer is required.
+    pub(super) answer_not_required: bool,
+    /// When the client left before the final answer.
     pub(super) client_left_at: Option<f64>,
-    /// An attempt was sent later than the client's departure allows.
+    /// Whether an attempt was sent after the grace period that follows the client's departure.
     pub(super) sent_after_departure: bool,
 }
 
@@ -189,7 +189,7 @@
             attempts: Vec::new(),
             executions: Vec::new(),
             answered: false,
-            excused: false,
+            answer_not_required: false,
             client_left_at: None,
             sent_after_departure: false,
         }
@@ -199,26 +199,26 @@
         self.events.push((now, event));
     }
 
-    /// The events in order, a line each.
+    /// The events in order, one per line.
     pub(super) fn lines(&self) -> Vec<String> {
         let line = |(at, event): &(f64, RequestEvent)| format!("{at:.3} ms  {event}");
         self.events.iter().map(line).collect()
     }
 
-    /// Why a new attempt in this group could have an effect twice, if it could.
-    pub(super) fn unsafe_repeat(&self, now: f64, group: u64) -> Option<&'static str> {
+    /// Returns why a new attempt in this deduplication group could duplicate the request's effect, if it could.
+    pub(super) fn unsafe_retry_reason(&self, now: f64, group: u64) -> Option<&'static str> {
         let mut earlier = self
             .attempts
             .iter()
             .filter(|attempt| attempt.may_have_executed());
-        let unsafe_repeat = match self.retry_safety {
+        let is_unsafe = match self.retry_safety {
             RetrySafety::Idempotent => false,
             RetrySafety::Deduplicated { .. } => earlier.any(|attempt| {
                 attempt.group != group || now - attempt.started_at > self.deduplication_window_ms
             }),
             RetrySafety::NotIdempotent => earlier.next().is_some(),
         };
-        if !unsafe_repeat {
+        if !is_unsafe {
             return None;
         }
         if self.retry_safety == RetrySafety::NotIdempotent {
@@ -227,15 +227,15 @@
         Some("a repeat outside its group or window")
     }
 
-    /// Whether an endpoint of this group drops the request as a repeat.
-    pub(super) fn is_repeat(&self, now: f64, group: u64) -> bool {
+    /// Whether an endpoint of this group drops the request as a duplicate.
+    pub(super) fn is_duplicate(&self, now: f64, group: u64) -> bool {
         matches!(self.retry_safety, RetrySafety::Deduplicated { .. })
             && self.executions.iter().any(|execution| {
                 execution.group == group && now - execution.at <= self.deduplication_window_ms
             })
     }
 
-    /// Whether its client may retry it without a second effect.
+    /// Whether the client can retry the request without a duplicate effect.
     pub(super) fn safe_to_reject(&self) -> bool {
         let may_have_executed = self.attempts.iter().any(AttemptHistory::may_have_executed);
         match self.retry_safety {
--- a/simulator/src/invariants/mod.rs
+++ b/simulator/src/invariants/mod.rs
@@ -1,4 +1,4 @@
-//! The invariant checker: it follows the history of every request and checks the rules as things happen.
+//! The invariant checker: it records the history of every request and checks the rules at each event.
 
 mod cold_start;
 mod history;
@@ -8,33 +8,33 @@
 pub use history::{Answer, RequestEvent, RequestHistory, RetrySafety};
 use history::{AttemptHistory, Execution};
 
-/// Number of rules.
+/// Number of [`Rule`]s.
 pub const RULES: usize = 5;
 
-/// How long after a client's departure attempts for it may still be sent: the operators' figure.
+/// How long after a client's departure attempts for its request may still be sent.
 const DEPARTURE_GRACE_MS: f64 = 100.0;
-/// From so many requests that were sent later than that on it is a violation: the operators' figure.
-const DEPARTURE_VIOLATIONS: u64 = 3;
-/// So many violations are kept with the history of their request; all are counted.
+/// Minimum number of requests with attempts after that period for the counts to report violations.
+const MIN_DEPARTURE_VIOLATIONS: u64 = 3;
+/// Maximum number of violations kept with the history of their request. Further ones are only counted.
 const MAX_KEPT_VIOLATIONS: usize = 20;
 
-/// The rules, in the order of the project's pages.
+/// The rules that a run must keep, in the order of the counts in reports.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Rule {
-    /// Each request gets exactly one final answer, in its time.
+    /// Each request gets exactly one final answer, by its deadline.
     NoLostRequest,
-    /// No request that is not idempotent has its effect twice.
+    /// No request takes effect more than once, unless it is idempotent.
     NoDuplicateEffect,
-    /// No attempt is sent to an endpoint that drains.
+    /// No attempt is sent to a draining or removed endpoint after the grace period.
     DrainsHonoured,
     /// No cold endpoint is overloaded.
     NoColdOverload,
-    /// Nothing is sent for clients that have left while their request waited.
+    /// No attempt is sent for a client that has left, after the grace period.
     NoWorkForDepartedClients,
 }
 
 impl Rule {
-    /// Its name in reports.
+    /// The rule's name in reports.
     pub fn name(self) -> &'static str {
         match self {
             Rule::NoLostRequest => "no op lost",
@@ -46,38 +46,39 @@
     }
 }
 
-/// A rule that was broken, with the history of the request.
+/// A violation of a rule, with the history of the request.
 #[derive(Clone, Debug)]
 pub struct Violation {
-    /// The rule.
+    /// The violated rule.
     pub rule: Rule,
-    /// When.
+    /// When the violation was detected.
     pub at: f64,
-    /// How it was broken.
+    /// How the rule was violated.
     pub description: String,
-    /// The events of the request in order, a line each.
+    /// The events of the request in order, one per line.
     pub history: Vec<String>,
 }
 
-/// What the rules allow.
+/// Tolerances of the rules.
 #[derive(Clone, Copy, Debug)]
 pub struct Tolerances {
-    /// How late after its deadline a request may be answered.
+    /// How long after its deadline a request may still be answered.
     pub answer_slack_ms: f64,
-    /// How long after it is notified of a drain a proxy may still send to the endpoint.
+    /// How long a proxy may still send to an endpoint after the proxy is notified that it drains.
     pub drain_grace_ms: f64,
-    /// A cold endpoint is overloaded at this multiple of what it can do ...
+    /// A cold endpoint is overloaded if the work sent to it exceeds this multiple of its capacity
+    /// over the window.
     pub overload_multiple: f64,
-    /// ... within this window.
+    /// The time window over which the work sent to a cold endpoint is measured.
     pub overload_window_ms: f64,
 }
 
-/// Follows all requests of a run and counts the violations of each rule.
+/// Checks all requests of a run and counts the violations of each rule.
 pub struct InvariantChecker {
     tolerances: Tolerances,
-    /// The first violations.
+    /// The first violations, up to a fixed number.
     pub violations: Vec<Violation>,
-    /// By rule; for departed clients it counts requests, not violations.
+    /// Violations by rule. For departed clients, the number of requests with late attempts.
     counts: [u64; RULES],
     clients_left: u64,
     attempt_delays_after_departure_ms: Vec<f64>,
@@ -85,7 +86,7 @@
 }
 
 impl InvariantChecker {
-    /// A checker that has seen nothing.
+    /// Creates a checker without any recorded events.
     pub fn new(tolerances: Tolerances) -> Self {
         InvariantChecker {
             tolerances,
@@ -97,7 +98,7 @@
         }
     }
 
-    fn violated(
+    fn record_violation(
         &mut self,
         rule: Rule,
         at: f64,
@@ -115,32 +116,32 @@
         }
     }
 
-    /// How often each rule was broken, in their order. A few requests sent for departed clients are no violation.
+    /// Number of violations by rule. Fewer than `MIN_DEPARTURE_VIOLATIONS` requests with late attempts count as none.
     pub fn counts(&self) -> [u64; RULES] {
         let mut counts = self.counts;
         let departed = &mut counts[Rule::NoWorkForDepartedClients as usize];
-        if *departed < DEPARTURE_VIOLATIONS {
+        if *departed < MIN_DEPARTURE_VIOLATIONS {
             *departed = 0;
         }
         counts
     }
 
-    /// How many clients left while their request waited.
+    /// Number of clients that left before the final answer.
     pub fn clients_left(&self) -> u64 {
         self.clients_left
     }
 
-    /// How long after its client's departure each later attempt was sent.
+    /// For each attempt sent after its client had left, the time since the departure.
     pub fn attempt_delays_after_departure_ms(&self) -> &[f64] {
         &self.attempt_delays_after_departure_ms
     }
 
-    /// An attempt arrived for a request that was forgotten long ago.
+    /// Records an attempt that arrived for a request whose history has been discarded.
     pub fn attempt_for_forgotten_request(&mut self) {
         self.counts[Rule::NoLostRequest as usize] += 1;
     }
 
-    /// A proxy receives a request. The history is handed back with every later event of the request.
+    /// Starts the history of a request received by a proxy. The caller passes it to the methods for later events.
     pub fn request_received(
         &self,
         now: f64,
@@ -152,7 +153,8 @@
         RequestHistory::new(now, proxy, retry_safety, deduplication_window_ms, deadline)
     }
 
-    /// A proxy sends an attempt. `draining_since` is when it was notified that the endpoint drains or is removed.
+    /// Checks an attempt that a proxy sends. `draining_since` is when the proxy was notified that the endpoint drains
+    /// or is removed.
     pub fn attempt_started(
         &mut self,
         now: f64,
@@ -163,21 +165,21 @@
     ) {
         let attempt = history.attempts.len();
         history.record(now, RequestEvent::AttemptStarted { attempt, endpoint });
-        let unsafe_repeat = history.unsafe_repeat(now, group);
+        let unsafe_retry_reason = history.unsafe_retry_reason(now, group);
         history.attempts.push(AttemptHistory {
             group,
             started_at: now,
             outcome: None,
         });
         let late = now > history.deadline + self.tolerances.answer_slack_ms;
-        if history.answered || late || history.excused {
+        if history.answered || late || history.answer_not_required {
             let description = format!("push {attempt} to server {endpoint} after its end");
-            self.violated(Rule::NoLostRequest, now, description, Some(history));
+            self.record_violation(Rule::NoLostRequest, now, description, Some(history));
         }
-        self.check_departure(now, history);
-        if let Some(reason) = unsafe_repeat {
+        self.check_client_departure(now, history);
+        if let Some(reason) = unsafe_retry_reason {
             let description = format!("push {attempt}: {reason}");
-            self.violated(Rule::NoDuplicateEffect, now, description, Some(history));
+            self.record_violation(Rule::NoDuplicateEffect, now, description, Some(history));
         }
         let grace_ms = self.tolerances.drain_grace_ms;
         if let Some(since) = draining_since.filter(|since| now > since + grace_ms) {
@@ -185,12 +187,12 @@
                 "push {attempt} to server {endpoint}, told {:.0} ms ago that it drains",
                 now - since
             );
-            self.violated(Rule::DrainsHonoured, now, description, Some(history));
+            self.record_violation(Rule::DrainsHonoured, now, description, Some(history));
         }
     }
 
-    /// Counts a request once for which an attempt is sent too long after its client left.
-    fn check_departure(&mut self, now: f64, history: &mut RequestHistory) {
+    /// Counts a request, at most once, if an attempt is sent for it too long after its client left.
+    fn check_client_departure(&mut self, now: f64, history: &mut RequestHistory) {
         let Some(left_at) = history.client_left_at else {
             return;
         };
@@ -202,7 +204,7 @@
         }
     }
 
-    /// An endpoint begins to execute a request, or drops it as a repeat.
+    /// Records that an endpoint starts to execute a request, or drops it as a duplicate.
     pub fn attempt_executed(
         &mut self,
         now: f64,
@@ -211,7 +213,7 @@
         endpoint: usize,
         group: u64,
     ) {
-        if history.is_repeat(now, group) {
+        if history.is_duplicate(now, group) {
             history.record(now, RequestEvent::Deduplicated { attempt, endpoint });
             return;
         }
@@ -220,11 +222,11 @@
         let executions = history.executions.len();
         if history.retry_safety != RetrySafety::Idempotent && executions > 1 {
             let description = format!("its effect happened {executions} times");
-            self.violated(Rule::NoDuplicateEffect, now, description, Some(history));
+            self.record_violation(Rule::NoDuplicateEffect, now, description, Some(history));
         }
     }
 
-    /// A proxy learns how an attempt ended.
+    /// Records the outcome of an attempt, as learned by its proxy.
     pub fn attempt_ended(
         &self,
         now: f64,
@@ -236,54 +238,54 @@
         history.attempts[attempt].outcome = Some(outcome);
     }
 
-    /// A proxy gives its final answer.
+    /// Checks the final answer of a proxy.
     pub fn answered(&mut self, now: f64, history: &mut RequestHistory, answer: Answer) {
         history.record(now, RequestEvent::Answered { answer });
         if history.answered {
             let description = "a second final answer".into();
-            self.violated(Rule::NoLostRequest, now, description, Some(history));
+            self.record_violation(Rule::NoLostRequest, now, description, Some(history));
         }
         history.answered = true;
         let late = now > history.deadline + self.tolerances.answer_slack_ms;
-        if late && !history.excused {
+        if late && !history.answer_not_required {
             let description = "answered after its time".into();
-            self.violated(Rule::NoLostRequest, now, description, Some(history));
+            self.record_violation(Rule::NoLostRequest, now, description, Some(history));
         }
         if answer == Answer::Rejected && !history.safe_to_reject() {
             let description = "nacked though it may have run".into();
-            self.violated(Rule::NoDuplicateEffect, now, description, Some(history));
+            self.record_violation(Rule::NoDuplicateEffect, now, description, Some(history));
         }
     }
 
-    /// The client has left while its request waited, and the proxy is notified of it.
+    /// Records that a client has left before the final answer and that its proxy has been notified.
     pub fn client_left(&mut self, now: f64, history: &mut RequestHistory) {
         self.client_disconnected(now, history);
-        history.excused = true;
+        history.answer_not_required = true;
     }
 
-    /// The client has closed its connection while its request waited; the proxy has yet to find out.
+    /// Records that a client has closed its connection before the final answer, which its proxy may not know yet.
     pub fn client_disconnected(&mut self, now: f64, history: &mut RequestHistory) {
         history.record(now, RequestEvent::ClientLeft);
         history.client_left_at = Some(now);
         self.clients_left += 1;
     }
 
-    /// The proxy that holds a request dies.
-    pub fn proxy_died(&self, now: f64, history: &mut RequestHistory) {
-        history.record(now, RequestEvent::ProxyDied);
-        history.excused = true;
+    /// Records that the proxy of a request has crashed.
+    pub fn proxy_crashed(&self, now: f64, history: &mut RequestHistory) {
+        history.record(now, RequestEvent::ProxyCrashed);
+        history.answer_not_required = true;
     }
 
-    /// The deadline of a request and the slack after it have passed.
+    /// Checks that a request was answered; called when its deadline and the answer slack have passed.
     pub fn deadline_passed(&mut self, now: f64, history: &RequestHistory) {
-        if !history.answered && !history.excused {
+        if !history.answered && !history.answer_not_required {
             let description = "no final answer in its time".into();
-            self.violated(Rule::NoLostRequest, now, description, Some(history));
+            self.record_violation(Rule::NoLostRequest, now, description, Some(history));
         }
     }
 
-    /// Work for so many requests of mean work arrives at an endpoint. `cold_capacity` is how many of these it can do
-    /// in a millisecond while it is cold; none where it is warm. Returns whether that overloads it.
+    /// Records work that arrives at an endpoint, and returns whether it overloads a cold endpoint. `work` is in units
+    /// of a request of mean work; `cold_capacity` is in these units per millisecond, or `None` if the endpoint is warm.
     pub fn overloads_cold_endpoint(
         &mut self,
         now: f64,
@@ -302,7 +304,7 @@
         }
         self.cold_load.clear(endpoint);
         let description = format!("server {endpoint}: {sent:.1} ops, {allowed:.1} allowed");
-        self.violated(Rule::NoColdOverload, now, description, None);
+        self.record_violation(Rule::NoColdOverload, now, description, None);
         true
     }
 }
