--- a/simulator/src/environment/attempts.rs
+++ b/simulator/src/environment/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts as the proxies see them: sent on a connection, ended, timed out, cancelled.
+//! Proxy-side attempts: start, timeout, cancellation and outcome.
 
 use super::event_queue::{AttemptRef, EndpointRef, Event, RequestRef};
 use super::Environment;
@@ -9,24 +9,24 @@
 pub(super) struct Attempt {
     pub(super) endpoint: EndpointRef,
     pub(super) started_at: f64,
-    /// It went out on a new connection.
+    /// Whether it was sent on a new connection.
     pub(super) on_new_connection: bool,
-    /// Its proxy waits for it.
+    /// Whether its proxy is waiting for the outcome.
     pub(super) awaited: bool,
-    /// Its endpoint is done with it, or never saw it.
-    pub(super) settled: bool,
+    /// Whether its endpoint holds no work for it any longer, or never received it.
+    pub(super) released_by_endpoint: bool,
 }
 
 impl Environment<'_> {
-    /// The endpoint is done with an attempt, or never saw it.
-    pub(super) fn settle_attempt(&mut self, attempt: AttemptRef) {
+    /// Marks an attempt for which no endpoint holds work any longer.
+    pub(super) fn mark_released(&mut self, attempt: AttemptRef) {
         if let Some(request) = self.request(attempt.request) {
-            request.attempts[attempt.number].settled = true;
-            self.forget_if_finished(attempt.request.index);
+            request.attempts[attempt.number].released_by_endpoint = true;
+            self.remove_if_finished(attempt.request.index);
         }
     }
 
-    /// Schedules the end of an attempt, without a load report.
+    /// Schedules the delivery of an attempt's outcome to its proxy, without a load report.
     pub(super) fn schedule_attempt_end(
         &mut self,
         delay_ms: f64,
@@ -42,13 +42,13 @@
         self.schedule(delay_ms, ended);
     }
 
-    /// The number of the group of endpoints in which repeats of a request are dropped.
+    /// Returns the group of endpoints within which duplicates of a request of this class are dropped.
     pub(super) fn deduplication_group(&self, endpoint: usize, class: usize) -> u64 {
         let scope = self.script.request_classes[class].deduplication_scope;
         self.endpoints[endpoint].deduplication_group(scope)
     }
 
-    /// A proxy sends an attempt on an idle connection, or on a new one at its cost.
+    /// Sends an attempt on an idle connection if there is one, otherwise on a new connection after its handshake.
     pub(super) fn start_attempt(&mut self, request_index: usize, endpoint: usize, timeout_ms: f64) {
         let Some((attempt, proxy)) = self.record_attempt(request_index, endpoint) else {
             return;
@@ -56,34 +56,34 @@
         self.schedule(timeout_ms, Event::AttemptTimesOut { attempt });
         let from_zone = self.proxies[proxy].zone;
         let reachability = self.reachability(from_zone, endpoint);
-        let path_ms = self.draw_path_delay(from_zone, self.endpoints[endpoint].zone);
+        let path_delay_ms = self.draw_path_delay(from_zone, self.endpoints[endpoint].zone);
         if self.take_idle_connection(proxy, endpoint) {
             if reachability.requests {
-                self.send(path_ms, attempt, endpoint);
+                self.send(path_delay_ms, attempt, endpoint);
             } else {
-                self.settle_attempt(attempt);
+                self.mark_released(attempt);
             }
             return;
         }
         if !self.open_connection(proxy, endpoint, reachability) {
-            // A refusal takes a round trip; where nothing is heard, the connection times out.
+            // A refused connection takes one round trip; without a response, the connect timeout applies.
             let delay_ms = if reachability.responses {
-                2.0 * path_ms
+                2.0 * path_delay_ms
             } else {
                 self.script.network.connect_timeout_ms.min(timeout_ms)
             };
-            self.settle_attempt(attempt);
+            self.mark_released(attempt);
             self.schedule_attempt_end(delay_ms, attempt, AttemptOutcome::Unreachable);
             return;
         }
         if let Some(request) = self.request(attempt.request) {
             request.attempts[attempt.number].on_new_connection = true;
         }
-        let delay_ms = path_ms * (1.0 + 2.0 * self.script.network.handshake_round_trips);
+        let delay_ms = path_delay_ms * (1.0 + 2.0 * self.script.network.handshake_round_trips);
         self.send(delay_ms, attempt, endpoint);
     }
 
-    /// Notes a new attempt with its request, the checker and the results. Returns it with its proxy.
+    /// Records a new attempt in its request, the checker and the results. Returns the attempt and its proxy.
     fn record_attempt(
         &mut self,
         request_index: usize,
@@ -117,13 +117,13 @@
             started_at: self.now,
             on_new_connection: false,
             awaited: true,
-            settled: false,
+            released_by_endpoint: false,
         });
         self.results.attempt_sent(self.elapsed_ms(), endpoint);
         Some((attempt, proxy))
     }
 
-    /// A proxy closes the connection of an attempt, and its endpoint learns of it a path later.
+    /// Closes the connection of an attempt. Its endpoint receives the cancellation after the network delay.
     pub(super) fn abort_attempt(&mut self, request_index: usize, number: usize) {
         let Some(request) = self.requests.get(request_index) else {
             return;
@@ -143,7 +143,7 @@
         self.schedule(delay_ms, Event::CancellationArrives { attempt, endpoint });
     }
 
-    /// A policy cancels an attempt.
+    /// Cancels an attempt on behalf of a policy.
     pub(super) fn cancel_attempt(&mut self, request_index: usize, number: usize) {
         let Some(request) = self.requests.get_mut(request_index) else {
             return;
@@ -170,15 +170,15 @@
             policy.attempt_ended(now, &result, truth)
         });
         self.execute_steps(request_index, steps);
-        self.forget_if_finished(request_index);
+        self.remove_if_finished(request_index);
     }
 
-    /// A proxy has waited for an attempt as long as it may take.
+    /// Handles the timeout of an attempt.
     pub(super) fn attempt_times_out(&mut self, attempt: AttemptRef) {
         self.attempt_ends(attempt, AttemptOutcome::TimedOut, LoadReport::default());
     }
 
-    /// An attempt has ended, as its proxy sees it.
+    /// Handles the outcome of an attempt at its proxy.
     pub(super) fn attempt_ends(
         &mut self,
         attempt_ref: AttemptRef,
@@ -223,12 +223,12 @@
         });
         if self.request(request_ref).is_some() {
             self.execute_steps(index, steps);
-            self.forget_if_finished(index);
+            self.remove_if_finished(index);
         }
-        self.serve_policy(proxy);
+        self.handle_policy_needs(proxy);
     }
 
-    /// What becomes of the connection of an attempt that has ended.
+    /// Returns the connection of an ended attempt to the pool, or closes it.
     fn release_connection(
         &mut self,
         proxy: usize,
--- a/simulator/src/environment/clients.rs
+++ b/simulator/src/environment/clients.rs
@@ -1,4 +1,4 @@
-//! Clients: when their calls arrive, which proxy they reach, and how they retry.
+//! Clients: call arrivals, routing to proxies, and retries.
 
 use super::event_queue::{Event, RequestRef};
 use super::requests::Request;
@@ -8,18 +8,18 @@
 use crate::script::{Backoff, Burst};
 use crankmux::types::{ClassId, NewRequest, RequestId};
 
-/// Between a client and its proxy, one way.
+/// One-way network delay between a client and its proxy.
 pub(super) const CLIENT_DELAY_MS: f64 = 0.5;
-/// Added to the time at which a deadline is checked, so that what happens at that moment comes before.
+/// Added to the time of a deadline check, so that events at the deadline are handled first.
 const AFTER_DEADLINE_MS: f64 = 0.001;
 
-/// What a client wants, over all requests that it sends for it.
+/// A client's call, which covers its first request and all retries.
 pub(super) struct ClientCall {
     pub(super) class: usize,
     zone: usize,
-    /// What it is about; 0 for nothing.
+    /// Key of the call; 0 if it has none.
     key: u64,
-    /// Its work, as a multiple of the class's mean.
+    /// Multiplies the mean work of the class.
     work_factor: f64,
     pub(super) arrived_at: f64,
     requests_sent: usize,
@@ -27,13 +27,13 @@
     impatient: bool,
 }
 
-/// Proxies that clients are routed to, with their weights.
+/// The proxies that clients are routed to, with their weights.
 pub(super) struct RoutingTable {
     proxies: Vec<usize>,
     weights: Vec<f64>,
 }
 
-/// The factor of the strongest burst at a second of the run, if there is one.
+/// Returns the largest factor among the bursts active at a second of the run, if any.
 fn burst_factor(bursts: &[Burst], second: f64) -> Option<f64> {
     let active = bursts
         .iter()
@@ -42,7 +42,7 @@
 }
 
 impl Environment<'_> {
-    /// Rebuilds the routing tables from the proxies that are believed to be up.
+    /// Rebuilds the routing tables from the proxies that are not detected as failed.
     pub(super) fn update_routing(&mut self) {
         let zones = self.script.zones.len();
         let table = |zone: usize| {
@@ -56,8 +56,8 @@
         self.routing = (0..=zones).map(table).collect();
     }
 
-    /// Calls come as a Poisson process whose rate varies. It is thinned: drawn at the peak rate, and each call stays
-    /// with the probability that the rate at its time has of the peak.
+    /// Schedules the next call of an inhomogeneous Poisson process by thinning: candidates arrive at the peak rate and
+    /// are accepted with probability `rate / peak_rate`.
     pub(super) fn schedule_next_call(&mut self) {
         let mut delay_ms = 0.0;
         loop {
@@ -120,21 +120,21 @@
         }
     }
 
-    /// The key that a call is about: 0 for none, 1 for the hot one.
+    /// Draws the key of a call: 0 if it has none, 1 for the hot key.
     fn draw_key(&mut self, second: f64) -> u64 {
         let load = &self.script.load;
         let hot_fraction = burst_factor(&load.hot_key, second).unwrap_or(0.0);
-        let hot = self.random.arrivals.bernoulli(hot_fraction);
+        let is_hot = self.random.arrivals.bernoulli(hot_fraction);
         if load.key_count == 0 {
             return 0;
         }
-        if hot {
+        if is_hot {
             return 1;
         }
         2 + self.random.arrivals.index_below(load.key_count) as u64
     }
 
-    /// Sends a request for a call to a proxy: the first one, or a retry.
+    /// Sends the first request of a call, or a retry, to a proxy.
     pub(super) fn send_request(&mut self, call: usize) {
         self.results.request_sent(self.elapsed_ms());
         let state = self.calls.get_mut(call).expect("an open call");
@@ -144,7 +144,7 @@
             return self.request_unsuccessful(call, true, 0.0);
         };
         if !self.proxies[proxy].up {
-            // The connection was refused, so the request never reached a proxy.
+            // The connection was refused, so that a retry is safe.
             return self.request_unsuccessful(call, true, 0.0);
         }
         let (request, arrival) = self.open_request(call, proxy);
@@ -152,10 +152,10 @@
             policy.request_arrived(now, &arrival, truth)
         });
         self.execute_steps(request.index, steps);
-        self.serve_policy(proxy);
+        self.handle_policy_needs(proxy);
     }
 
-    /// A proxy of this zone; of any zone where this one has none.
+    /// Draws a proxy of this zone, or of any zone if this one has none.
     fn draw_proxy(&mut self, zone: usize) -> Option<usize> {
         let mut table = &self.routing[zone];
         if table.proxies.is_empty() {
@@ -167,7 +167,7 @@
         Some(table.proxies[self.random.clients.weighted_index(&table.weights)])
     }
 
-    /// A proxy takes in a request of a call.
+    /// Creates a request of a call at a proxy.
     fn open_request(&mut self, call_index: usize, proxy: usize) -> (RequestRef, NewRequest) {
         let call = self.calls.get(call_index).expect("an open call");
         let class = &self.script.request_classes[call.class];
@@ -212,7 +212,7 @@
         (request, arrival)
     }
 
-    /// A request was rejected or failed. The client retries if that is safe and it has retries left.
+    /// Handles a rejected or failed request. The client retries if that is safe and it has retries left.
     pub(super) fn request_unsuccessful(
         &mut self,
         call: usize,
@@ -246,13 +246,13 @@
         );
     }
 
-    /// A call is over, with or without success.
+    /// Closes a call and records its outcome.
     pub(super) fn close_call(&mut self, call: usize, outcome: Outcome) {
         if let Some(call) = self.calls.remove(call) {
-            let took_ms = self.now - call.arrived_at + 2.0 * CLIENT_DELAY_MS;
+            let latency_ms = self.now - call.arrived_at + 2.0 * CLIENT_DELAY_MS;
             let arrived_ms = call.arrived_at - START_MS;
             self.results
-                .call_closed(arrived_ms, call.class, outcome, took_ms);
+                .call_closed(arrived_ms, call.class, outcome, latency_ms);
         }
     }
 }
--- a/simulator/src/environment/discovery.rs
+++ b/simulator/src/environment/discovery.rs
@@ -1,18 +1,18 @@
-//! Discovery: the endpoint list, its changes in order, and when each proxy learns of them.
+//! Discovery: the endpoint list, its change log, and notifications to proxies.
 
 use super::event_queue::Event;
 use super::Environment;
 use crankmux::types::{EndpointId, EndpointState, EndpointUpdate};
 
-/// What discovery knows of the endpoints.
+/// The endpoint list as held by discovery.
 pub(super) struct EndpointList {
-    /// Whether an endpoint is in the list.
+    /// Whether each endpoint is in the list.
     pub(super) listed: Vec<bool>,
-    /// Every change, in order.
+    /// All changes in order.
     changes: Vec<EndpointUpdate>,
-    /// How many faults keep discovery down at the moment.
+    /// Number of active faults that make discovery unavailable.
     pub(super) outages: usize,
-    /// How far the start time of each endpoint is off, as discovery gives it.
+    /// Clock offset in the start time that discovery reports for each endpoint.
     pub(super) clock_offsets_ms: Vec<f64>,
 }
 
@@ -28,7 +28,7 @@
 }
 
 impl Environment<'_> {
-    /// What the list says of an endpoint now.
+    /// Returns the current state of an endpoint as discovery reports it.
     pub(super) fn endpoint_update(&self, index: usize) -> EndpointUpdate {
         let endpoint = &self.endpoints[index];
         let state = if self.endpoint_list.listed[index] {
@@ -52,7 +52,7 @@
         }
     }
 
-    /// Adds a change to the list; each proxy is notified after a delay of its own.
+    /// Appends a change to the list and notifies each proxy after a random delay.
     pub(super) fn publish(&mut self, change: EndpointUpdate) {
         self.endpoint_list.changes.push(change);
         self.schedule_notifications(false);
@@ -70,20 +70,20 @@
         self.schedule(delay_ms, Event::ProxyNotified { proxy, full_list });
     }
 
-    /// A proxy starts with the list that it last knew, and asks for the current one.
+    /// Starts a proxy with its last known endpoint list, and schedules a notification with the current one.
     pub(super) fn start_proxy(&mut self, proxy: usize) {
         let list = self.last_known_list(proxy);
         self.with_policy(proxy, |policy, now, _| {
             policy.update_endpoints(now, &list, true, true)
         });
-        // The platform's discovery is automatic: a proxy need not ask for the list.
+        // Discovery sends the list without a request from the proxy.
         let delay_ms = self.script.discovery.notification_delay_ms;
         let full_list = true;
         self.schedule(delay_ms, Event::ProxyNotified { proxy, full_list });
-        self.serve_policy(proxy);
+        self.handle_policy_needs(proxy);
     }
 
-    /// The endpoints at the start of the run, with the changes that this proxy was notified of.
+    /// Returns the endpoints at the start of the run, updated by the changes that this proxy was notified of.
     fn last_known_list(&self, proxy: usize) -> Vec<EndpointUpdate> {
         let initial: usize = self.script.machine_types.iter().map(|m| m.count).sum();
         let mut list: Vec<EndpointUpdate> = (0..initial.min(self.endpoints.len()))
@@ -94,10 +94,10 @@
             })
             .collect();
         for change in &self.endpoint_list.changes[..self.proxies[proxy].changes_seen] {
-            let known = list
+            let existing = list
                 .iter_mut()
                 .find(|update| update.endpoint == change.endpoint);
-            match known {
+            match existing {
                 Some(update) => *update = *change,
                 None => list.push(*change),
             }
@@ -106,7 +106,7 @@
         list
     }
 
-    /// A proxy learns what has changed since it was last notified, or the full list.
+    /// Sends a proxy the changes since its last notification, or the full list.
     pub(super) fn notify_proxy(&mut self, proxy: usize, full_list: bool) {
         if self.endpoint_list.outages > 0 || !self.proxies[proxy].up {
             return;
@@ -117,7 +117,7 @@
         if changes.is_empty() && !full_list {
             return;
         }
-        self.note_drains(proxy, &changes);
+        self.record_drain_notifications(proxy, &changes);
         let updates = if full_list {
             self.listed_endpoints()
         } else {
@@ -126,7 +126,7 @@
         self.with_policy(proxy, |policy, now, _| {
             policy.update_endpoints(now, &updates, full_list, false)
         });
-        self.serve_policy(proxy);
+        self.handle_policy_needs(proxy);
     }
 
     fn listed_endpoints(&self) -> Vec<EndpointUpdate> {
@@ -136,18 +136,18 @@
             .collect()
     }
 
-    /// Keeps when a proxy was first notified that an endpoint drains or is removed.
-    fn note_drains(&mut self, proxy: usize, changes: &[EndpointUpdate]) {
-        let notified_at = &mut self.proxies[proxy].drain_notified_at;
+    /// Records when a proxy was first notified that an endpoint drains or is removed.
+    fn record_drain_notifications(&mut self, proxy: usize, changes: &[EndpointUpdate]) {
+        let drain_notifications = &mut self.proxies[proxy].drain_notified_at;
         for change in changes {
-            if notified_at.len() <= change.endpoint.index() {
-                notified_at.resize(change.endpoint.index() + 1, None);
+            if drain_notifications.len() <= change.endpoint.index() {
+                drain_notifications.resize(change.endpoint.index() + 1, None);
             }
-            let noted = &mut notified_at[change.endpoint.index()];
+            let notified_at = &mut drain_notifications[change.endpoint.index()];
             if change.state == EndpointState::Ready {
-                *noted = None;
+                *notified_at = None;
             } else {
-                noted.get_or_insert(self.now);
+                notified_at.get_or_insert(self.now);
             }
         }
     }
--- a/simulator/src/environment/endpoints.rs
+++ b/simulator/src/environment/endpoints.rs
@@ -1,4 +1,4 @@
-//! Endpoints: attempts that arrive, work that finishes, responses, crashes and replacements.
+//! Endpoints: arriving attempts, execution, responses, crashes and replacements.
 
 use super::event_queue::{AttemptRef, EndpointRef, Event, RequestRef};
 use super::Environment;
@@ -6,14 +6,14 @@
 use crate::random::stable_hash;
 use crankmux::types::{AttemptOutcome, EndpointState, EndpointUpdate, LoadReport};
 
-/// An endpoint that was overloaded while cold is back, cold, after this.
+/// Time until an endpoint that crashed by overload while cold restarts.
 const RESTART_AFTER_OVERLOAD_MS: f64 = 2000.0;
-/// What an endpoint that fails at once takes to do so.
+/// Processing time of an attempt that fails immediately.
 const FAIL_FAST_MS: f64 = 1.0;
-/// Added to the end of a pause, so that work resumes after it.
+/// Added to the end of a pause, so that jobs complete after it.
 const AFTER_PAUSE_MS: f64 = 0.001;
 
-/// The attempt that a job is for.
+/// Returns the attempt that a job belongs to.
 fn attempt_of(job: &Job) -> AttemptRef {
     AttemptRef {
         request: RequestRef {
@@ -33,51 +33,57 @@
             return;
         };
         let proxy = request.proxy;
-        let path_ms = self.draw_path_delay(
+        let path_delay_ms = self.draw_path_delay(
             self.endpoints[endpoint.index].zone,
             self.proxies[proxy].zone,
         );
         if !connected {
-            self.settle_attempt(attempt);
+            self.mark_released(attempt);
             let outcome = AttemptOutcome::ConnectionLost;
-            return self.schedule_attempt_end(path_ms, attempt, outcome);
+            return self.schedule_attempt_end(path_delay_ms, attempt, outcome);
         }
-        if self.fault_strikes(attempt, endpoint.index, path_ms) {
+        if self.attempt_fails_by_fault(attempt, endpoint.index, path_delay_ms) {
             return;
         }
         if self.overloads_cold(attempt, endpoint.index) {
             self.results.endpoints_overloaded += 1;
-            // It breaks with the connections of whatever the endpoint had.
-            self.settle_attempt(attempt);
-            self.schedule_attempt_end(path_ms, attempt, AttemptOutcome::ConnectionLost);
+            // The attempt loses its connection, like those that the endpoint already holds.
+            self.mark_released(attempt);
+            self.schedule_attempt_end(path_delay_ms, attempt, AttemptOutcome::ConnectionLost);
             self.kill_endpoint(endpoint.index, RESTART_AFTER_OVERLOAD_MS);
             return;
         }
-        self.enqueue(attempt, endpoint.index, path_ms);
+        self.enqueue(attempt, endpoint.index, path_delay_ms);
     }
 
-    /// Whether a fault of the endpoint ends an attempt before any work is done.
-    fn fault_strikes(&mut self, attempt: AttemptRef, endpoint: usize, path_ms: f64) -> bool {
+    /// Applies the faults of an endpoint to an arriving attempt. Returns whether a fault ended the attempt before any
+    /// work was done.
+    fn attempt_fails_by_fault(
+        &mut self,
+        attempt: AttemptRef,
+        endpoint: usize,
+        path_delay_ms: f64,
+    ) -> bool {
         let faults = self.endpoints[endpoint].faults;
         if faults.unresponsive {
-            self.settle_attempt(attempt);
+            self.mark_released(attempt);
             return true;
         }
         if self.random.faults.bernoulli(faults.reset_probability) {
-            self.settle_attempt(attempt);
-            self.schedule_attempt_end(path_ms, attempt, AttemptOutcome::ConnectionLost);
+            self.mark_released(attempt);
+            self.schedule_attempt_end(path_delay_ms, attempt, AttemptOutcome::ConnectionLost);
             return true;
         }
         if self.random.faults.bernoulli(faults.failure_probability) {
-            self.settle_attempt(attempt);
-            let delay_ms = path_ms + FAIL_FAST_MS;
+            self.mark_released(attempt);
+            let delay_ms = path_delay_ms + FAIL_FAST_MS;
             self.schedule_attempt_end(delay_ms, attempt, AttemptOutcome::Failed);
             return true;
         }
         false
     }
 
-    /// Whether an attempt is one too many for an endpoint that is still cold.
+    /// Records the work of an arriving attempt, and returns whether it overloads a cold endpoint.
     fn overloads_cold(&mut self, attempt: AttemptRef, endpoint: usize) -> bool {
         let Some(request) = self.request(attempt.request) else {
             return false;
@@ -93,22 +99,22 @@
             .overloads_cold_endpoint(self.now, endpoint, relative_work, cold_capacity)
     }
 
-    /// An endpoint takes an attempt into its queue, or rejects it.
-    fn enqueue(&mut self, attempt: AttemptRef, endpoint: usize, path_ms: f64) {
+    /// Adds an attempt to the queue of an endpoint, or rejects it.
+    fn enqueue(&mut self, attempt: AttemptRef, endpoint: usize, path_delay_ms: f64) {
         let Some(job) = self.new_job(attempt, endpoint) else {
             return;
         };
         if self.endpoints[endpoint].enqueue(self.now, job) {
             return self.start_jobs(endpoint);
         }
-        self.settle_attempt(attempt);
+        self.mark_released(attempt);
         let load = self.load_report(endpoint);
         let rejected = Event::AttemptEnds {
             attempt,
             outcome: AttemptOutcome::Rejected,
             load,
         };
-        self.schedule(path_ms, rejected);
+        self.schedule(path_delay_ms, rejected);
     }
 
     fn new_job(&mut self, attempt: AttemptRef, endpoint: usize) -> Option<Job> {
@@ -134,7 +140,7 @@
         })
     }
 
-    /// The load that an endpoint reports with its answers.
+    /// Returns the load report that an endpoint attaches to a response.
     fn load_report(&mut self, endpoint: usize) -> LoadReport {
         let settings = &self.script.load_reports;
         if !settings.enabled {
@@ -149,11 +155,11 @@
         })
     }
 
-    /// Lets free cores take what waits.
+    /// Starts queued jobs on free cores.
     fn start_jobs(&mut self, endpoint: usize) {
         let was_degraded = self.endpoints[endpoint].degraded;
-        while let Some(begun) = self.endpoints[endpoint].start_next(self.now) {
-            match begun {
+        while let Some(dequeued) = self.endpoints[endpoint].start_next(self.now) {
+            match dequeued {
                 Dequeued::Started(running) => {
                     let finishes = Event::JobFinishes {
                         endpoint: EndpointRef {
@@ -173,7 +179,7 @@
         }
     }
 
-    /// Tells the checker that a request is executed.
+    /// Reports the execution of a job to the checker.
     fn record_execution(&mut self, endpoint: usize, job: &Job) {
         let Some(request) = self.request(attempt_of(job).request) else {
             return;
@@ -191,7 +197,7 @@
         }
     }
 
-    /// An endpoint responds to an attempt, unless the response is lost.
+    /// Sends the response of an endpoint to the proxy, unless it is lost.
     fn respond(&mut self, endpoint: usize, job: &Job, outcome: AttemptOutcome) {
         let attempt = attempt_of(job);
         let Some(request) = self.request(attempt.request) else {
@@ -199,7 +205,7 @@
         };
         let proxy = request.proxy;
         let to_zone = self.proxies[proxy].zone;
-        self.settle_attempt(attempt);
+        self.mark_released(attempt);
         let from_zone = self.endpoints[endpoint].zone;
         let faults = self.endpoints[endpoint].faults;
         if faults.unresponsive
@@ -209,13 +215,13 @@
             return;
         }
         let load = self.load_report(endpoint);
-        let path_ms = self.draw_path_delay(from_zone, to_zone);
-        let ends = Event::AttemptEnds {
+        let path_delay_ms = self.draw_path_delay(from_zone, to_zone);
+        let response = Event::AttemptEnds {
             attempt,
             outcome,
             load,
         };
-        self.schedule(path_ms, ends);
+        self.schedule(path_delay_ms, response);
     }
 
     pub(super) fn job_finishes(&mut self, endpoint: EndpointRef, job_number: u64) {
@@ -246,12 +252,13 @@
             return;
         }
         if state.cancel(self.now, request.index, request.serial, number) {
-            self.settle_attempt(attempt);
+            self.mark_released(attempt);
         }
         self.start_jobs(endpoint.index);
     }
 
-    /// The process of an endpoint dies: the connections of what it held break. It restarts cold, if at all.
+    /// Terminates an endpoint, which breaks the connections of its jobs. It restarts cold unless `restart_after_ms` is
+    /// infinite.
     pub(super) fn kill_endpoint(&mut self, endpoint: usize, restart_after_ms: f64) {
         if !self.endpoints[endpoint].up {
             return;
@@ -259,11 +266,11 @@
         for job in self.endpoints[endpoint].crash() {
             let attempt = attempt_of(&job);
             let proxy = self.request(attempt.request).map(|request| request.proxy);
-            self.settle_attempt(attempt);
+            self.mark_released(attempt);
             let Some(proxy) = proxy else { continue };
-            let path_ms =
+            let path_delay_ms =
                 self.draw_path_delay(self.endpoints[endpoint].zone, self.proxies[proxy].zone);
-            self.schedule_attempt_end(path_ms, attempt, AttemptOutcome::ConnectionLost);
+            self.schedule_attempt_end(path_delay_ms, attempt, AttemptOutcome::ConnectionLost);
         }
         if restart_after_ms.is_finite() {
             self.schedule(restart_after_ms, Event::EndpointRestarts { endpoint });
@@ -279,7 +286,7 @@
         self.publish(self.endpoint_update(endpoint));
     }
 
-    /// A cold successor starts, and the old endpoint drains.
+    /// Starts a cold replacement, and drains the old endpoint.
     pub(super) fn replace_endpoint(&mut self, endpoint: usize) {
         if !self.endpoint_list.listed[endpoint] {
             return;
@@ -308,7 +315,7 @@
         self.schedule(drain_ms, Event::EndpointRemoved { endpoint });
     }
 
-    /// A drained endpoint leaves the list and ends.
+    /// Removes a drained endpoint from the list and terminates it.
     pub(super) fn remove_endpoint(&mut self, endpoint: usize) {
         self.publish(self.endpoint_update(endpoint));
         self.kill_endpoint(endpoint, f64::INFINITY);
--- a/simulator/src/environment/event_queue.rs
+++ b/simulator/src/environment/event_queue.rs
@@ -1,10 +1,10 @@
-//! What can happen in a run, and the queue of events in order of time.
+//! The events of a run, and the time-ordered event queue.
 
 use crankmux::types::{AttemptOutcome, LoadReport};
 use std::cmp::{Ordering, Reverse};
 use std::collections::BinaryHeap;
 
-/// A request by its place, which is used again, and its serial number, which is not.
+/// Identifies a request by its slab index, which is reused, and its serial number, which is not.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct RequestRef {
     pub(super) index: usize,
@@ -18,7 +18,7 @@
     pub(super) number: usize,
 }
 
-/// One incarnation of an endpoint: what was sent to an earlier one is lost.
+/// One incarnation of an endpoint. Messages to an earlier incarnation are lost.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct EndpointRef {
     pub(super) index: usize,
@@ -32,7 +32,7 @@
     pub(super) incarnation: u32,
 }
 
-/// What can happen.
+/// A simulated event.
 pub(super) enum Event {
     CallArrives,
     CallRetries {
@@ -48,7 +48,7 @@
         attempt: AttemptRef,
         endpoint: EndpointRef,
     },
-    /// The proxy learns how an attempt ended.
+    /// A proxy learns the outcome of an attempt.
     AttemptEnds {
         attempt: AttemptRef,
         outcome: AttemptOutcome,
@@ -77,7 +77,7 @@
     ProxyTicks {
         proxy: usize,
     },
-    /// The endpoint list reaches a proxy, in full or what changed of it.
+    /// A proxy receives the full endpoint list or the changes since its last notification.
     ProxyNotified {
         proxy: usize,
         full_list: bool,
@@ -85,7 +85,7 @@
     ProxyRestarts {
         proxy: ProxyRef,
     },
-    ProxyFailureNoticed {
+    ProxyFailureDetected {
         proxy: ProxyRef,
     },
     FaultBegins {
@@ -99,7 +99,7 @@
     },
 }
 
-/// An event with its time. The sequence number orders events of the same time by when they were scheduled.
+/// A scheduled event. The sequence number orders events with equal times by insertion.
 struct ScheduledEvent {
     at: f64,
     sequence: u64,
@@ -127,17 +127,17 @@
     }
 }
 
-/// Events, earliest first; those of the same time in the order in which they were pushed.
+/// A priority queue of events, earliest first. Events with equal times are returned in insertion order.
 #[derive(Default)]
 pub(super) struct EventQueue {
     heap: BinaryHeap<Reverse<ScheduledEvent>>,
-    pushed: u64,
+    last_sequence: u64,
 }
 
 impl EventQueue {
     pub(super) fn push(&mut self, at: f64, event: Event) {
-        self.pushed += 1;
-        let sequence = self.pushed;
+        self.last_sequence += 1;
+        let sequence = self.last_sequence;
         self.heap.push(Reverse(ScheduledEvent {
             at,
             sequence,
--- a/simulator/src/environment/fault_schedule.rs
+++ b/simulator/src/environment/fault_schedule.rs
@@ -1,23 +1,24 @@
-//! Faults as they begin and end: what is done once, and what holds while they are active.
+//! Begin and end of faults: one-time effects, and effects that last while a fault is active.
 
 use super::event_queue::Event;
 use super::Environment;
 use crate::faults::{endpoint_faults, select_targets, FaultTargets, Partitions};
 use crate::script::{Fault, FaultKind};
 
-/// How often endpoints that pause are looked at, and the chance that one pauses then: about once a second.
+/// Interval at which target endpoints of a pause fault may pause.
 const PAUSE_INTERVAL_MS: f64 = 100.0;
+/// Probability that a target endpoint pauses in an interval: once a second on average.
 const PAUSE_PROBABILITY: f64 = 0.1;
 
-/// A fault that has begun and not ended.
+/// A fault that has begun and has not ended.
 pub(super) struct ActiveFault {
-    /// Its place in the script.
+    /// Index of the fault in the script.
     index: usize,
     targets: FaultTargets,
 }
 
 impl Environment<'_> {
-    /// Sets what the active faults do to endpoints and zones.
+    /// Recomputes the combined effect of the active faults on endpoints and zones.
     pub(super) fn apply_faults(&mut self) {
         let script = self.script;
         let active: Vec<(&Fault, &FaultTargets)> = self
@@ -42,7 +43,7 @@
         self.apply_faults();
     }
 
-    /// What a fault does once, when it begins.
+    /// Applies the one-time effects of a fault when it begins.
     fn start_effects(&mut self, index: usize, fault: &Fault, targets: &FaultTargets) {
         let duration_ms = 1000.0 * fault.duration_s;
         match fault.kind {
@@ -54,8 +55,8 @@
             FaultKind::Pauses => self.schedule(0.0, Event::EndpointsPause { fault: index }),
             FaultKind::Release => {
                 let step_ms = duration_ms / targets.endpoints.len().max(1) as f64;
-                for (turn, endpoint) in targets.endpoints.iter().copied().enumerate() {
-                    self.schedule(step_ms * turn as f64, Event::EndpointReplaced { endpoint });
+                for (step, endpoint) in targets.endpoints.iter().copied().enumerate() {
+                    self.schedule(step_ms * step as f64, Event::EndpointReplaced { endpoint });
                 }
             }
             FaultKind::KillEndpoints => {
@@ -80,9 +81,9 @@
             self.endpoint_list.outages -= 1;
             self.schedule_notifications(true);
         }
-        let ended = |active: &ActiveFault| active.index == index;
-        if let Some(place) = self.active_faults.iter().position(ended) {
-            let ended = self.active_faults.remove(place);
+        let is_ended = |active: &ActiveFault| active.index == index;
+        if let Some(position) = self.active_faults.iter().position(is_ended) {
+            let ended = self.active_faults.remove(position);
             if fault.kind == FaultKind::ClockStep {
                 self.shift_clocks(&ended.targets, -1000.0 * fault.strength);
             }
@@ -102,7 +103,7 @@
         endpoint.paused_until = endpoint.paused_until.max(until);
     }
 
-    /// Each target of a fault pauses now with a small chance, for as long as the fault is active.
+    /// Pauses each target of an active fault with a fixed probability, and schedules the next round.
     pub(super) fn pause_endpoints(&mut self, index: usize) {
         let pause_ms = self.script.faults[index].strength;
         let active = self
--- a/simulator/src/environment/mod.rs
+++ b/simulator/src/environment/mod.rs
@@ -1,6 +1,6 @@
-//! A run in virtual time: clients, proxies, the network between them and the endpoints, driven by one event queue.
+//! Discrete-event simulation of one run: clients, proxies, the network, discovery and endpoints.
 //!
-//! `run` takes events in order of time until the script ends. Each submodule holds the state and the event
+//! `run` handles events in order of time until the end of the script. Each submodule holds the state and the event
 //! handlers of one concern.
 
 mod attempts;
@@ -30,10 +30,10 @@
 use requests::Request;
 use slab::Slab;
 
-/// Time at the start of a run: any that is far from 0, which stands for "long ago".
+/// Time at the start of a run. It is far from 0, which marks endpoints that started long before the run.
 const START_MS: f64 = 1_000_000_000.0;
 
-/// One random stream for each use, so that a change of one does not shift the draws of the others.
+/// One random stream per purpose, so that extra draws in one do not change the others.
 struct RandomStreams {
     arrivals: RandomStream,
     work: RandomStream,
@@ -62,9 +62,9 @@
     active_faults: Vec<ActiveFault>,
     partitions: Partitions,
     random: RandomStreams,
-    /// Whom clients reach: one table for each zone, and at the end one for all proxies.
+    /// Proxies that clients are routed to: one table for each zone, followed by one for all zones.
     routing: Vec<RoutingTable>,
-    /// The highest arrival rate of the script, in calls a millisecond.
+    /// Upper bound of the arrival rate, in calls per millisecond.
     peak_rate: f64,
     zone_weights: Vec<f64>,
     /// Mean work of a request on a core of speed one.
@@ -73,11 +73,11 @@
     results: ResultsCollector,
 }
 
-/// Runs a script with one policy and one seed.
+/// Simulates a script with one policy and one seed.
 ///
 /// # Errors
 ///
-/// A policy that cannot be made from the script's settings.
+/// Returns an error if the policy cannot be created from the script's settings.
 pub fn run(script: &Script, policy_kind: PolicyKind, seed: u64) -> Result<RunResults, PolicyError> {
     let mut environment = Environment::new(script, policy_kind, seed)?;
     while let Some((at, event)) = environment.queue.pop() {
@@ -110,7 +110,7 @@
         self.queue.push(self.now + delay_ms.max(0.0), event);
     }
 
-    /// Time since the start of the run.
+    /// Virtual time since the start of the run.
     fn elapsed_ms(&self) -> f64 {
         self.now - START_MS
     }
@@ -141,7 +141,7 @@
             Event::ProxyTicks { proxy } => self.proxy_ticks(proxy),
             Event::ProxyNotified { proxy, full_list } => self.notify_proxy(proxy, full_list),
             Event::ProxyRestarts { proxy } => self.restart_proxy(proxy),
-            Event::ProxyFailureNoticed { proxy } => self.proxy_failure_noticed(proxy),
+            Event::ProxyFailureDetected { proxy } => self.proxy_failure_detected(proxy),
             Event::FaultBegins { fault } => self.begin_fault(fault),
             Event::FaultEnds { fault } => self.end_fault(fault),
             Event::EndpointsPause { fault } => self.pause_endpoints(fault),
--- a/simulator/src/environment/network.rs
+++ b/simulator/src/environment/network.rs
@@ -1,25 +1,24 @@
-//! The network: what a path takes, partitions between zones, and the connections of proxies to endpoints.
+//! The network: message delays, partitions between zones, and the connection pools of proxies.
 
 use super::event_queue::{AttemptRef, EndpointRef, Event};
 use super::Environment;
 
-/// Endpoints close an idle connection after the keepalive time. Proxies use it for three quarters of that time only:
-/// for so many milliseconds a second of it.
-const USABLE_KEEPALIVE_MS_PER_S: f64 = 750.0;
+/// Proxies discard an idle connection after this fraction of the keepalive time, before the endpoint closes it.
+const IDLE_TIMEOUT_FRACTION: f64 = 0.75;
 
-/// Connections of one proxy to one endpoint.
+/// Connections from one proxy to one endpoint.
 #[derive(Clone, Copy, Default)]
 pub(super) struct ConnectionPool {
     idle: u32,
     pub(super) open: u32,
     last_used: f64,
-    /// The endpoint's incarnation that they are connected to.
+    /// Incarnation of the endpoint that they are connected to.
     pub(super) incarnation: u32,
 }
 
 impl ConnectionPool {
-    /// Drops connections to an earlier incarnation, or those idle for too long. Returns how many the endpoint is
-    /// to forget.
+    /// Drops connections to an earlier incarnation, and idle ones after the timeout. Returns how many connections the
+    /// current incarnation of the endpoint has to close.
     fn discard_stale(&mut self, incarnation: u32, now: f64, idle_timeout_ms: f64) -> u32 {
         if self.incarnation != incarnation {
             self.incarnation = incarnation;
@@ -44,24 +43,24 @@
         true
     }
 
-    /// A connection is free for the next attempt.
+    /// Returns a connection to the pool.
     pub(super) fn release(&mut self, now: f64) {
         self.idle += 1;
         self.last_used = now;
     }
 }
 
-/// Which messages pass between the proxies of a zone and an endpoint.
+/// Whether messages pass between the proxies of a zone and an endpoint.
 #[derive(Clone, Copy)]
 pub(super) struct Reachability {
-    /// Requests arrive at the machine.
+    /// Requests reach the endpoint.
     pub(super) requests: bool,
-    /// Responses come back as well.
+    /// Requests reach the endpoint and responses reach the proxy.
     pub(super) responses: bool,
 }
 
 impl Environment<'_> {
-    /// Draws the time that a message takes from one zone to another.
+    /// Draws the one-way delay of a message between two zones.
     pub(super) fn draw_path_delay(&mut self, from_zone: usize, to_zone: usize) -> f64 {
         let network = &self.script.network;
         let mean_ms = if from_zone == to_zone {
@@ -83,9 +82,9 @@
         }
     }
 
-    /// The pool of a proxy for an endpoint, without stale connections; its time of use is now.
+    /// Discards stale connections from the pool of a proxy for an endpoint, marks the pool as used now and returns it.
     fn refreshed_pool(&mut self, proxy: usize, endpoint: usize) -> &mut ConnectionPool {
-        let idle_timeout_ms = USABLE_KEEPALIVE_MS_PER_S * self.script.network.keepalive_s;
+        let idle_timeout_ms = IDLE_TIMEOUT_FRACTION * 1000.0 * self.script.network.keepalive_s;
         let state = &mut self.endpoints[endpoint];
         let pools = &mut self.proxies[proxy].connections;
         if pools.len() <= endpoint {
@@ -98,12 +97,12 @@
         pool
     }
 
-    /// Takes an idle connection from the pool of a proxy; false where there is none.
+    /// Takes an idle connection from the pool of a proxy. Returns false if there is none.
     pub(super) fn take_idle_connection(&mut self, proxy: usize, endpoint: usize) -> bool {
         self.refreshed_pool(proxy, endpoint).take_idle()
     }
 
-    /// Opens a connection; false where the endpoint is down, full, or not heard.
+    /// Opens a connection. Returns false if the endpoint is down, unreachable or at its connection limit.
     pub(super) fn open_connection(
         &mut self,
         proxy: usize,
@@ -120,7 +119,7 @@
         true
     }
 
-    /// Closes the connection of an attempt that did not end with a full response.
+    /// Closes the connection of an attempt that ended without a complete response.
     pub(super) fn close_connection(&mut self, proxy: usize, endpoint: EndpointRef) {
         let pools = &mut self.proxies[proxy].connections;
         let Some(pool) = pools.get_mut(endpoint.index) else {
@@ -136,7 +135,7 @@
         }
     }
 
-    /// Closes all connections of a proxy that died.
+    /// Closes all connections of a crashed proxy.
     pub(super) fn close_all_connections(&mut self, proxy: usize) {
         let pools = self.proxies[proxy].connections.iter_mut();
         for (pool, endpoint) in pools.zip(&mut self.endpoints) {
@@ -147,7 +146,7 @@
         }
     }
 
-    /// An attempt leaves its proxy for the endpoint as it is now.
+    /// Sends an attempt to the current incarnation of an endpoint.
     pub(super) fn send(&mut self, delay_ms: f64, attempt: AttemptRef, endpoint: usize) {
         let state = &mut self.endpoints[endpoint];
         state.attempts_in_transit += 1;
--- a/simulator/src/environment/proxies.rs
+++ b/simulator/src/environment/proxies.rs
@@ -1,4 +1,4 @@
-//! Proxies: their policies, timers, deaths and restarts.
+//! Proxies: policy calls, timers, crashes and restarts.
 
 use super::event_queue::{Event, ProxyRef};
 use super::network::ConnectionPool;
@@ -10,13 +10,13 @@
 use crate::script::{Idempotency, Script};
 use crankmux::types::EndpointId;
 
-/// The policy that sees the true state avoids a machine once this part of the wait that degrades it is expected:
-/// the work of requests differs, so the rest is left to chance.
+/// The omniscient policy avoids an endpoint if its expected wait exceeds this fraction of the wait that degrades it.
+/// The margin allows for the variation of work between requests.
 const SAFE_WAIT_FRACTION: f64 = 0.5;
-/// From this chance of failing at once an endpoint counts as faulty.
-const FAULTY_PROBABILITY: f64 = 0.5;
+/// Failure probability from which the omniscient policy treats an endpoint as unhealthy.
+const UNHEALTHY_FAILURE_PROBABILITY: f64 = 0.5;
 
-/// One proxy.
+/// State of one proxy.
 pub(super) struct Proxy {
     pub(super) policy: Policy,
     pub(super) up: bool,
@@ -24,14 +24,14 @@
     pub(super) zone: usize,
     /// Weight among the proxies that clients are routed to.
     pub(super) weight: f64,
-    /// Whether clients are routed to it: until its death is noticed.
+    /// Whether clients are routed to it. False from the detection of its failure until its restart.
     pub(super) routed: bool,
-    /// How many changes of the endpoint list it was notified of.
+    /// Number of changes of the endpoint list that it was notified of.
     pub(super) changes_seen: usize,
     next_tick: f64,
-    /// By endpoint.
+    /// Connection pools, by endpoint.
     pub(super) connections: Vec<ConnectionPool>,
-    /// When it was notified that an endpoint drains or is removed.
+    /// When it was notified that an endpoint drains or is removed, by endpoint.
     pub(super) drain_notified_at: Vec<Option<f64>>,
 }
 
@@ -51,14 +51,14 @@
         }
     }
 
-    /// When it was notified that this endpoint drains or is removed, if it does.
+    /// When it was notified that an endpoint drains or is removed, if it was.
     pub(super) fn draining_since(&self, endpoint: usize) -> Option<f64> {
         self.drain_notified_at.get(endpoint).copied().flatten()
     }
 }
 
-/// The true state of the endpoints, as it matters to a proxy of one zone.
-struct TrueState<'a> {
+/// The true state of the endpoints, as seen from the zone of a proxy.
+struct TrueEndpointState<'a> {
     script: &'a Script,
     endpoints: &'a [Endpoint],
     partitions: &'a Partitions,
@@ -67,33 +67,34 @@
     zone: usize,
 }
 
-impl TrueState<'_> {
+impl TrueEndpointState<'_> {
     fn of(&self, endpoint: usize) -> EndpointTruth {
         let endpoint = &self.endpoints[endpoint];
         let load = endpoint.in_flight() + endpoint.attempts_in_transit;
         let machine = &endpoint.machine;
         let has_room = load < machine.cores + machine.queue_capacity;
-        let healthy =
-            self.reaches(endpoint) && endpoint.faults.failure_probability < FAULTY_PROBABILITY;
-        let rounds = (load + 1) as f64 / machine.cores as f64;
+        let healthy = self.reaches(endpoint)
+            && endpoint.faults.failure_probability < UNHEALTHY_FAILURE_PROBABILITY;
+        let service_rounds = (load + 1) as f64 / machine.cores as f64;
         let paused_ms = (endpoint.paused_until - self.now).max(0.0);
-        let path_ms = if endpoint.zone == self.zone {
+        let path_delay_ms = if endpoint.zone == self.zone {
             self.script.network.same_zone_ms
         } else {
             self.script.network.cross_zone_ms
         };
-        let round_ms = self.mean_work_ms / endpoint.speed(self.now).max(1e-6);
-        let wait_ms = paused_ms + (rounds - 1.0).max(0.0) * round_ms;
+        let service_time_ms = self.mean_work_ms / endpoint.speed(self.now).max(1e-6);
+        let wait_ms = paused_ms + (service_rounds - 1.0).max(0.0) * service_time_ms;
         let would_degrade = machine
             .degradation
             .is_some_and(|degradation| wait_ms > SAFE_WAIT_FRACTION * degradation.queue_wait_ms);
-        let latency_ms = 2.0 * path_ms + paused_ms + rounds.max(1.0) * round_ms;
+        let latency_ms =
+            2.0 * path_delay_ms + paused_ms + service_rounds.max(1.0) * service_time_ms;
         EndpointTruth {
             expected_latency_ms: (healthy && has_room && !would_degrade).then_some(latency_ms),
         }
     }
 
-    /// Whether requests reach an endpoint and its responses come back.
+    /// Whether requests reach an endpoint and its responses reach the proxy.
     fn reaches(&self, endpoint: &Endpoint) -> bool {
         endpoint.up
             && !endpoint.faults.unresponsive
@@ -103,13 +104,13 @@
 }
 
 impl Environment<'_> {
-    /// Calls the policy of a proxy, which may look at the true state if it is one that sees it.
+    /// Calls the policy of a proxy with access to the true state, which only the omniscient policy uses.
     pub(super) fn with_policy<T>(
         &mut self,
         proxy: usize,
         call: impl FnOnce(&mut Policy, f64, &dyn Fn(EndpointId) -> EndpointTruth) -> T,
     ) -> T {
-        let state = TrueState {
+        let state = TrueEndpointState {
             script: self.script,
             endpoints: &self.endpoints,
             partitions: &self.partitions,
@@ -121,8 +122,8 @@
         call(&mut self.proxies[proxy].policy, self.now, &truth)
     }
 
-    /// Sees to what a policy wants after each call: its endpoint list in full, and its next timer.
-    pub(super) fn serve_policy(&mut self, proxy: usize) {
+    /// Handles the needs of a policy after a call: a full endpoint list, and its next timer.
+    pub(super) fn handle_policy_needs(&mut self, proxy: usize) {
         let needs = self.proxies[proxy].policy.take_needs();
         if needs.endpoint_list {
             self.schedule_notification(proxy, true);
@@ -141,14 +142,14 @@
             return;
         }
         state.next_tick = f64::INFINITY;
-        let decided = self.with_policy(proxy, |policy, now, _| policy.tick(now));
-        for (request, steps) in decided {
+        let decisions = self.with_policy(proxy, |policy, now, _| policy.tick(now));
+        for (request, steps) in decisions {
             self.execute_steps(request.index(), steps);
         }
-        self.serve_policy(proxy);
+        self.handle_policy_needs(proxy);
     }
 
-    /// A proxy dies with all that it holds, and restarts after a while.
+    /// Terminates a proxy, which loses all its requests, and schedules its restart.
     pub(super) fn kill_proxy(&mut self, proxy: usize, restart_after_ms: f64) {
         let state = &mut self.proxies[proxy];
         if !state.up {
@@ -157,13 +158,16 @@
         state.up = false;
         state.incarnation += 1;
         state.next_tick = f64::INFINITY;
-        let dead = ProxyRef {
+        let crashed = ProxyRef {
             index: proxy,
             incarnation: state.incarnation,
         };
-        let noticed_after_ms = 1000.0 * self.script.clients.failure_detection_s;
-        self.schedule(noticed_after_ms, Event::ProxyFailureNoticed { proxy: dead });
-        self.schedule(restart_after_ms, Event::ProxyRestarts { proxy: dead });
+        let detected_after_ms = 1000.0 * self.script.clients.failure_detection_s;
+        self.schedule(
+            detected_after_ms,
+            Event::ProxyFailureDetected { proxy: crashed },
+        );
+        self.schedule(restart_after_ms, Event::ProxyRestarts { proxy: crashed });
         let held: Vec<usize> = self
             .requests
             .iter()
@@ -171,13 +175,13 @@
             .map(|(index, _)| index)
             .collect();
         for request_index in held {
-            self.lose_request(request_index);
+            self.abandon_request(request_index);
         }
         self.close_all_connections(proxy);
     }
 
-    /// The proxy of a request has died.
-    fn lose_request(&mut self, request_index: usize) {
+    /// Abandons a request whose proxy has crashed.
+    fn abandon_request(&mut self, request_index: usize) {
         let Some(request) = self.requests.get_mut(request_index) else {
             return;
         };
@@ -202,11 +206,11 @@
                 self.close_call(call, Outcome::Failed);
             }
         }
-        self.forget_if_finished(request_index);
+        self.remove_if_finished(request_index);
     }
 
-    /// Clients are no longer routed to a dead proxy.
-    pub(super) fn proxy_failure_noticed(&mut self, proxy: ProxyRef) {
+    /// Stops routing clients to a proxy, unless it has restarted.
+    pub(super) fn proxy_failure_detected(&mut self, proxy: ProxyRef) {
         let state = &mut self.proxies[proxy.index];
         if state.incarnation == proxy.incarnation && !state.up {
             state.routed = false;
@@ -223,7 +227,7 @@
             .seed
             .wrapping_add(u64::from(incarnation) << 32)
             .wrapping_add(index as u64);
-        // The same script made a policy at the start of the run, so there is no error to report.
+        // This cannot fail: the same script created a policy at the start of the run.
         if let Ok(policy) = Policy::new(self.policy_kind, self.script, index, seed) {
             let state = &mut self.proxies[index];
             state.policy = policy;
--- a/simulator/src/environment/requests.rs
+++ b/simulator/src/environment/requests.rs
@@ -1,4 +1,4 @@
-//! Requests at their proxies: final answers, deadlines, clients that leave.
+//! Requests at proxies: final answers, deadlines and client disconnects.
 
 use super::attempts::Attempt;
 use super::clients::CLIENT_DELAY_MS;
@@ -10,13 +10,14 @@
 use crankmux::dispatcher::{FinalAnswer, NextSteps};
 use crankmux::types::RequestId;
 
-/// How long after its deadline a request is overdue, in milliseconds: endpoints drop what they have of it by then.
+/// Time after its deadline from which a request that is still held counts as overdue. Endpoints should have dropped
+/// its work by then.
 const OVERDUE_MS: f64 = 2000.0;
 
-/// One request of a client, as its proxy and the endpoints have it.
+/// State of one client request.
 pub(super) struct Request {
     pub(super) serial: u64,
-    /// The call that it is for; no longer valid once the request is answered or abandoned.
+    /// The call that it belongs to. The index is invalid once the request is answered or abandoned.
     pub(super) call: usize,
     pub(super) class: usize,
     pub(super) work_factor: f64,
@@ -25,32 +26,32 @@
     pub(super) deadline: f64,
     pub(super) attempts: Vec<Attempt>,
     pub(super) answered: bool,
-    /// The client takes no answer any more, or the proxy is dead.
+    /// Whether the client no longer waits for an answer, or the proxy has crashed.
     pub(super) abandoned: bool,
     pub(super) history: RequestHistory,
 }
 
 impl Request {
-    /// Whether its client still waits for an answer.
+    /// Whether the client still waits for an answer.
     pub(super) fn is_open(&self) -> bool {
         !self.answered && !self.abandoned
     }
 
-    /// Whether nobody has it any more: neither its client, nor its proxy, nor an endpoint.
+    /// Whether neither its client, its proxy nor an endpoint still holds it.
     fn is_finished(&self) -> bool {
-        let settled = |attempt: &Attempt| !attempt.awaited && attempt.settled;
-        !self.is_open() && self.attempts.iter().all(settled)
+        let ended = |attempt: &Attempt| !attempt.awaited && attempt.released_by_endpoint;
+        !self.is_open() && self.attempts.iter().all(ended)
     }
 }
 
 impl Environment<'_> {
-    /// The request, unless it is forgotten already.
+    /// Returns a request, unless it has been removed.
     pub(super) fn request(&mut self, request: RequestRef) -> Option<&mut Request> {
         let found = self.requests.get_mut(request.index)?;
         (found.serial == request.serial).then_some(found)
     }
 
-    /// How many requests are held though their deadline was long ago.
+    /// Number of requests still held more than [`OVERDUE_MS`] after their deadline.
     pub(super) fn overdue_requests(&self) -> usize {
         let overdue_since = self.now - OVERDUE_MS;
         let requests = self.requests.iter();
@@ -59,19 +60,19 @@
             .count()
     }
 
-    /// The request, if its client still waits for an answer.
+    /// Returns a request if its client still waits for an answer.
     fn open_request_mut(&mut self, request: RequestRef) -> Option<&mut Request> {
         self.request(request).filter(|request| request.is_open())
     }
 
-    /// Forgets a request once nobody has it any more.
-    pub(super) fn forget_if_finished(&mut self, index: usize) {
+    /// Removes a request that neither its client, its proxy nor an endpoint still holds.
+    pub(super) fn remove_if_finished(&mut self, index: usize) {
         if self.requests.get(index).is_some_and(Request::is_finished) {
             self.requests.remove(index);
         }
     }
 
-    /// Does what a policy decided for a request.
+    /// Executes the steps that a policy decided for a request.
     pub(super) fn execute_steps(&mut self, request_index: usize, steps: NextSteps) {
         for attempt in steps.cancel {
             self.cancel_attempt(request_index, attempt);
@@ -88,24 +89,24 @@
         }
     }
 
-    /// A proxy gives a request its final answer.
+    /// Gives a request its final answer.
     pub(super) fn answer(&mut self, request_index: usize, answer: Answer, retry_after_ms: f64) {
         let Some(request) = self.requests.get_mut(request_index) else {
             return;
         };
         self.checker
             .answered(self.now, &mut request.history, answer);
-        let first = request.is_open();
+        let was_open = request.is_open();
         request.answered = true;
-        if first {
+        if was_open {
             let call = request.call;
             let past_deadline = self.now > request.deadline;
             self.client_answered(call, answer, past_deadline, retry_after_ms);
         }
-        self.forget_if_finished(request_index);
+        self.remove_if_finished(request_index);
     }
 
-    /// An answer reaches the client of a call.
+    /// Handles an answer at the client of a call.
     fn client_answered(
         &mut self,
         call_index: usize,
@@ -117,15 +118,15 @@
             return;
         };
         let class = &self.script.request_classes[call.class];
-        let took_ms = self.now - call.arrived_at + 2.0 * CLIENT_DELAY_MS;
+        let latency_ms = self.now - call.arrived_at + 2.0 * CLIENT_DELAY_MS;
         match answer {
             Answer::Succeeded if past_deadline => self.close_call(call_index, Outcome::Failed),
-            Answer::Succeeded if took_ms <= class.latency_objective_ms => {
+            Answer::Succeeded if latency_ms <= class.latency_objective_ms => {
                 self.close_call(call_index, Outcome::InTime);
             }
             Answer::Succeeded => self.close_call(call_index, Outcome::Late),
             Answer::Rejected => self.request_unsuccessful(call_index, true, retry_after_ms),
-            // Clients retry a failed request only if it may be executed twice.
+            // Clients retry a failed request only if it is idempotent.
             Answer::Failed => {
                 let idempotent = class.idempotency == Idempotency::Idempotent;
                 self.request_unsuccessful(call_index, idempotent, 0.0);
@@ -133,7 +134,7 @@
         }
     }
 
-    /// A client leaves while its request waits, and its proxy is notified.
+    /// Disconnects a client before its final answer and notifies the proxy.
     pub(super) fn client_leaves(&mut self, request_ref: RequestRef) {
         let Some(request) = self.open_request_mut(request_ref) else {
             return;
@@ -150,11 +151,11 @@
             policy.client_left(now, RequestId::new(index))
         });
         self.execute_steps(index, steps);
-        self.serve_policy(proxy);
-        self.forget_if_finished(index);
+        self.handle_policy_needs(proxy);
+        self.remove_if_finished(index);
     }
 
-    /// The time of a request is over, and what its answer may take beyond that.
+    /// Handles the end of a request's deadline plus the answer slack.
     pub(super) fn deadline_passes(&mut self, request_ref: RequestRef) {
         let Some(request) = self.open_request_mut(request_ref) else {
             return;
@@ -165,6 +166,6 @@
             self.checker.deadline_passed(self.now, &request.history);
         }
         self.close_call(call, Outcome::Failed);
-        self.forget_if_finished(request_ref.index);
+        self.remove_if_finished(request_ref.index);
     }
 }
--- a/simulator/src/environment/setup.rs
+++ b/simulator/src/environment/setup.rs
@@ -1,4 +1,4 @@
-//! The state of a run at its start.
+//! Initial state of a run.
 
 use super::clients::RoutingTable;
 use super::discovery::EndpointList;
@@ -14,7 +14,7 @@
 use crate::results::ResultsCollector;
 use crate::script::Script;
 
-/// Odd multiplier (2^64 by the golden ratio) that spreads the seed of a run over the proxies' seeds.
+/// Odd multiplier, 2^64 divided by the golden ratio, that keeps the seeds of proxies in different runs apart.
 const SEED_MULTIPLIER: u64 = 0x9e37_79b9_7f4a_7c15;
 
 impl RandomStreams {
@@ -31,7 +31,7 @@
     }
 }
 
-/// The endpoints that a script starts with. A pod stands within one zone.
+/// Creates the initial endpoints of a script. All endpoints of a pod are in one zone.
 fn initial_endpoints(script: &Script) -> Vec<Endpoint> {
     let mut endpoints = Vec::new();
     let mut pods = 0;
@@ -58,7 +58,7 @@
     script: &Script,
     policy_kind: PolicyKind,
     seed: u64,
-    shape: &mut RandomStream,
+    skew_random: &mut RandomStream,
 ) -> Result<Vec<Proxy>, PolicyError> {
     let mut proxies = Vec::new();
     for index in 0..script.proxies {
@@ -67,13 +67,13 @@
             .wrapping_add(index as u64);
         let policy = Policy::new(policy_kind, script, index, proxy_seed)?;
         let zone = index % script.zones.len();
-        let weight = shape.log_normal(script.load.proxy_sigma);
+        let weight = skew_random.log_normal(script.load.proxy_sigma);
         proxies.push(Proxy::new(policy, zone, weight));
     }
     Ok(proxies)
 }
 
-/// The highest arrival rate, in calls a millisecond: at the crest of the wave, within the largest burst.
+/// Upper bound of the arrival rate in calls per millisecond: the peak of the wave during the largest burst.
 fn peak_rate(script: &Script) -> f64 {
     let bursts = script.load.bursts.iter().map(|burst| burst.factor);
     let largest_burst = bursts.fold(1.0, f64::max);
@@ -88,11 +88,11 @@
     ) -> Result<Self, PolicyError> {
         let zones = script.zones.len();
         let endpoints = initial_endpoints(script);
-        let mut shape = RandomStream::named(seed, "shape");
+        let mut skew_random = RandomStream::named(seed, "shape");
         let zone_weights: Vec<f64> = (0..zones)
-            .map(|_| shape.log_normal(script.load.zone_sigma))
+            .map(|_| skew_random.log_normal(script.load.zone_sigma))
             .collect();
-        let proxies = initial_proxies(script, policy_kind, seed, &mut shape)?;
+        let proxies = initial_proxies(script, policy_kind, seed, &mut skew_random)?;
         let limits = &script.limits;
         let mut environment = Environment {
             script,
--- a/simulator/src/environment/slab.rs
+++ b/simulator/src/environment/slab.rs
@@ -1,6 +1,6 @@
-//! Storage with stable indices, where free places are used again.
+//! Storage with stable indices and reuse of free slots.
 
-/// Items by index. An index is used again after [`Slab::remove`], so long-lived references carry a serial number.
+/// Items by index. An index is reused after [`Slab::remove`], so long-lived references also need a serial number.
 pub(super) struct Slab<T> {
     items: Vec<Option<T>>,
     free: Vec<usize>,
@@ -39,7 +39,7 @@
         item
     }
 
-    /// Items with their indices, in order of index.
+    /// Iterates over the items and their indices in ascending order.
     pub(super) fn iter(&self) -> impl Iterator<Item = (usize, &T)> {
         let items = self.items.iter().enumerate();
         items.filter_map(|(index, item)| Some((index, item.as_ref()?)))
