--- a/simulator/src/environment/clients.rs
+++ b/simulator/src/environment/clients.rs
@@ -137,7 +137,7 @@
     /// Sends the first request of a call, or a retry, to a proxy.
     pub(super) fn send_request(&mut self, call: usize) {
         self.results.request_sent(self.elapsed_ms());
-        let state = self.calls.get_mut(call).expect("an open call");
+        let state = self.calls.get_mut(call).expect("the call should be open");
         state.requests_sent += 1;
         let zone = state.zone;
         let Some(proxy) = self.draw_proxy(zone) else {
@@ -169,7 +169,7 @@
 
     /// Creates a request of a call at a proxy.
     fn open_request(&mut self, call_index: usize, proxy: usize) -> (RequestRef, NewRequest) {
-        let call = self.calls.get(call_index).expect("an open call");
+        let call = self.calls.get(call_index).expect("the call should be open");
         let class = &self.script.request_classes[call.class];
         let deadline = self.now + class.ttl_ms;
         let history = self.checker.request_received(
@@ -220,7 +220,7 @@
         retry_after_ms: f64,
     ) {
         let clients = &self.script.clients;
-        let state = self.calls.get(call).expect("an open call");
+        let state = self.calls.get(call).expect("the call should be open");
         if !safe_to_retry {
             return self.close_call(call, Outcome::Failed);
         }
