--- a/proxy/src/cluster/endpoint_gossip.rs
+++ b/proxy/src/cluster/endpoint_gossip.rs
@@ -1,30 +1,30 @@
-//! Statuses of endpoints that proxies tell each other of, and which of them count here.
+//! Gossip of endpoint statuses between proxies, and its effect on this proxy's endpoint list.
 
-use super::state::EndpointLine;
+use super::state::ListEntry;
 use crate::endpoint_list::EndpointList;
 use crate::proxy::Proxy;
 use crankmux::types::{EndpointState, EndpointUpdate};
 use crankmux_membership::endpoint_gossip::{EndpointStatus, ListedEndpoint};
 
 impl Proxy {
-    /// The own list has changed: the others hear of it, and what they gossiped before may be overtaken.
+    /// Gossips a change of this proxy's endpoint list, and re-applies gossiped statuses that it affects.
     pub fn gossip_endpoint_list(&mut self, list: &EndpointList) {
         let Some(cluster) = &mut self.cluster else {
             return;
         };
         if list.complete {
-            cluster.endpoint_lines.clear();
+            cluster.list_entries.clear();
         }
         for listed in &list.endpoints {
             let update = listed.update;
-            let line = EndpointLine {
+            let entry = ListEntry {
                 update,
                 dial: listed.dial,
             };
             if update.state == EndpointState::Removed {
-                cluster.endpoint_lines.remove(&update.stable_hash);
+                cluster.list_entries.remove(&update.stable_hash);
             } else {
-                cluster.endpoint_lines.insert(update.stable_hash, line);
+                cluster.list_entries.insert(update.stable_hash, entry);
             }
         }
         let listed = list
@@ -39,34 +39,37 @@
         for gossip in changes.gossip {
             cluster.membership.gossip_endpoint(gossip);
         }
-        // The list was applied over what others had gossiped: the stricter status counts still.
-        let overridden = listed.iter().map(|line| line.endpoint).filter(|endpoint| {
-            let status = cluster.endpoint_view.status(*endpoint);
-            status.is_some_and(|status| status.strictness > READY)
-                && cluster.endpoint_lines.contains_key(endpoint)
-        });
+        // The list was applied regardless of gossip; where a gossiped status is stricter, it takes precedence.
+        let overridden = listed
+            .iter()
+            .map(|listed| listed.endpoint)
+            .filter(|endpoint| {
+                let status = cluster.endpoint_view.status(*endpoint);
+                status.is_some_and(|status| status.strictness > READY)
+                    && cluster.list_entries.contains_key(endpoint)
+            });
         let changed: Vec<u64> = changes.overtaken.into_iter().chain(overridden).collect();
         if !changed.is_empty() {
             self.apply_endpoint_statuses(&changed);
         }
     }
 
-    /// Brings endpoints to the status that counts now, by the own list and others' gossip.
+    /// Applies the current status of endpoints, merged from this proxy's list and received gossip.
     pub(super) fn apply_endpoint_statuses(&mut self, endpoints: &[u64]) {
         let now_ms = self.now();
         let Some(cluster) = &self.cluster else { return };
-        let current_line = |endpoint: &u64| {
-            let line = cluster.endpoint_lines.get(endpoint)?;
+        let current_entry = |endpoint: &u64| {
+            let entry = cluster.list_entries.get(endpoint)?;
             let status = cluster.endpoint_view.status(*endpoint)?;
-            Some(line.with_status(status))
+            Some(entry.with_status(status))
         };
-        let lines: Vec<EndpointLine> = endpoints.iter().filter_map(current_line).collect();
-        let updates: Vec<EndpointUpdate> = lines.iter().map(|line| line.update).collect();
+        let entries: Vec<ListEntry> = endpoints.iter().filter_map(current_entry).collect();
+        let updates: Vec<EndpointUpdate> = entries.iter().map(|entry| entry.update).collect();
         self.dispatcher
             .update_endpoints(now_ms, &updates, false, false);
-        for EndpointLine { update, dial } in lines {
+        for ListEntry { update, dial } in entries {
             log::info!(
-                "cluster: endpoint {:016x} is {:?}, by another proxy's list",
+                "cluster: endpoint {:016x} is now {:?} in the merged endpoint lists",
                 update.stable_hash,
                 update.state
             );
@@ -76,15 +79,15 @@
     }
 }
 
-impl EndpointLine {
-    /// The line as it counts with this status.
+impl ListEntry {
+    /// Returns the entry with its status replaced.
     fn with_status(self, status: EndpointStatus) -> Self {
         let EndpointStatus {
             strictness,
             started_at_ms,
         } = status;
         let dial = self.dial.filter(|_| strictness == READY);
-        EndpointLine {
+        ListEntry {
             update: EndpointUpdate {
                 state: state_of(strictness),
                 started_at_ms,
@@ -109,7 +112,7 @@
     }
 }
 
-/// How strict a state is, as proxies tell each other.
+/// Encodes a state for gossip.
 fn strictness_of(state: EndpointState) -> u8 {
     match state {
         EndpointState::Ready => READY,
@@ -118,8 +121,8 @@
     }
 }
 
-/// The state that gossip puts an endpoint into. One that others hold for removed only drains here: were it removed,
-/// its index would be used again while the own list has it. Either way nothing new goes there.
+/// Returns the state to apply for a gossiped status. An endpoint removed elsewhere is only drained here, because its
+/// index must not be reused while this proxy's own list contains it. Neither state receives new requests.
 fn state_of(strictness: u8) -> EndpointState {
     if strictness == READY {
         EndpointState::Ready
--- a/proxy/src/cluster/error.rs
+++ b/proxy/src/cluster/error.rs
@@ -1,31 +1,31 @@
-//! Why a proxy cannot take part in its cluster.
+//! Errors of joining the cluster.
 
 use crankmux_membership::KeyError;
 use std::io;
 use std::net::SocketAddr;
 
-/// Why a proxy cannot take part in its cluster.
+/// Why a proxy could not join its cluster.
 #[derive(Debug, thiserror::Error)]
 pub enum ClusterError {
-    /// The UDP port cannot be opened.
+    /// The UDP socket cannot be opened.
     #[error("{section}.listen: {address}: {source}")]
     Listen {
-        /// The section of the operator's file, as it is written there.
+        /// The name of the section in the operator configuration.
         section: &'static str,
-        /// The address of the key `listen`.
+        /// The value of `listen`.
         address: SocketAddr,
-        /// What the system says.
+        /// The cause.
         source: io::Error,
     },
-    /// The receive buffer cannot have the size of the key `receive-buffer`.
+    /// The receive buffer cannot be set to the size of `receive-buffer`.
     #[error("{section}.receive-buffer: {source}")]
     ReceiveBuffer {
-        /// The section of the operator's file, as it is written there.
+        /// The name of the section in the operator configuration.
         section: &'static str,
-        /// What the system says.
+        /// The cause.
         source: io::Error,
     },
-    /// A key of the cluster is none.
+    /// A cluster key is invalid.
     #[error(transparent)]
     Key(#[from] KeyError),
 }
--- a/proxy/src/cluster/events.rs
+++ b/proxy/src/cluster/events.rs
@@ -1,4 +1,4 @@
-//! Datagrams and timers of the cluster, and what their events change in the proxy.
+//! Datagrams and timers of the cluster, and how the proxy reacts to membership events.
 
 use super::state::Cluster;
 use super::status_page::describe;
@@ -7,7 +7,7 @@
 use std::mem::discriminant;
 
 impl Proxy {
-    /// Datagrams have come.
+    /// Reads and processes datagrams when the socket is readable.
     pub fn cluster_event(&mut self) {
         let now_ms = self.now();
         if let Some(cluster) = &mut self.cluster {
@@ -16,21 +16,22 @@
         }
     }
 
-    /// Does what is due.
+    /// Runs the cluster's due timers.
     pub fn run_cluster(&mut self) {
         let now_ms = self.now();
         let cluster = self.cluster.as_mut();
         let Some(cluster) = cluster.filter(|cluster| cluster.next_due_ms() <= now_ms) else {
             return;
         };
-        if now_ms >= cluster.port.read_again_at_ms() {
+        if now_ms >= cluster.socket.next_read_at_ms() {
             cluster.read(now_ms);
         }
         cluster.membership.handle_timers(now_ms);
         self.apply_cluster_changes();
     }
 
-    /// Takes in what has changed, and sends only then: once others hear of a change they act on it.
+    /// Applies membership changes, then sends pending datagrams. Sending comes last because other proxies act on what
+    /// they receive, so this proxy must have applied it before.
     fn apply_cluster_changes(&mut self) {
         let now_ms = self.now();
         let Some(cluster) = &mut self.cluster else {
@@ -53,7 +54,7 @@
 }
 
 impl Cluster {
-    /// Logs the events, and returns the endpoints whose status others' gossip has changed.
+    /// Logs membership events and returns the endpoints whose status has changed by gossip.
     fn take_events(&mut self) -> Vec<u64> {
         let mut changed_endpoints = Vec::new();
         for event in self.membership.take_events() {
@@ -69,32 +70,34 @@
         changed_endpoints
     }
 
-    /// Logs how much of the cluster is reached, where that is now full, partial or none and was not.
+    /// Logs reachability whenever it changes between full, partial and isolated.
     fn log_reachability(&mut self) {
         let reachability = self.membership.reachability();
-        if discriminant::<Reachability>(&reachability) != discriminant(&self.logged_reachability) {
-            log::info!("cluster: reaches {}", describe(reachability));
+        if discriminant::<Reachability>(&reachability)
+            != discriminant(&self.last_logged_reachability)
+        {
+            log::info!("cluster: {}", describe(reachability));
         }
-        self.logged_reachability = reachability;
+        self.last_logged_reachability = reachability;
     }
 }
 
 fn log_event(event: &MembershipEvent) {
     match event {
         MembershipEvent::Up(id) => {
-            log::info!("cluster: {} of zone {} at {} is up", id.name, id.zone, id.address);
+            log::info!("cluster: {} in zone {} at {} is up", id.name, id.zone, id.address);
         }
         MembershipEvent::Failed(id) => log::warn!("cluster: {} at {} has failed", id.name, id.address),
         MembershipEvent::Left(id) => log::info!("cluster: {} at {} has left", id.name, id.address),
         MembershipEvent::DuplicateName(first, second) => log::error!(
-            "cluster: two proxies call themselves {}: {} and {}; both serve on, one is to be given another name",
+            "cluster: two proxies call themselves {}: {} and {}; both continue to serve, but one must be renamed",
             first.name,
             first.address,
             second.address
         ),
         MembershipEvent::Paused(ms) => log::warn!("cluster: this process was paused for {ms:.0} ms"),
         MembershipEvent::Reincarnated(incarnation) => {
-            log::warn!("cluster: superseded or declared failed, continues as incarnation {incarnation}");
+            log::warn!("cluster: superseded or declared failed; continuing as incarnation {incarnation}");
         }
         MembershipEvent::EndpointUpdate(..) => {}
     }
--- a/proxy/src/cluster/lifecycle.rs
+++ b/proxy/src/cluster/lifecycle.rs
@@ -9,11 +9,11 @@
 use serde_json::Value;
 
 impl Proxy {
-    /// Opens the port of the cluster, where the operator file has one.
+    /// Joins the cluster, if the operator configuration has one.
     ///
     /// # Errors
     ///
-    /// The port cannot be opened, or a key is none.
+    /// Fails if the socket cannot be opened or a key is invalid.
     pub fn join_cluster(&mut self) -> Result<(), ClusterError> {
         let Some(config) = &self.cluster_config else {
             return Ok(());
@@ -26,7 +26,7 @@
         Ok(())
     }
 
-    /// Takes over a reload: keys and seeds count at once, anything else from the next start.
+    /// Applies a reloaded configuration. Keys and seeds change at once, everything else at the next start.
     pub fn reload_cluster(&mut self, config: Option<ClusterConfig>) {
         let configured_size = self.configured_cluster_size();
         if let (Some(cluster), Some(config)) = (&mut self.cluster, &config) {
@@ -39,12 +39,12 @@
             }
             (None, None) => {}
             (Some(_), None) | (None, Some(_)) => {
-                log::info!("cluster: on or off from the next start");
+                log::info!("cluster: enabling or disabling it takes effect at the next start");
             }
         }
     }
 
-    /// The number of proxies by the settings.
+    /// The cluster size in the settings.
     pub fn configured_cluster_size(&self) -> f64 {
         self.active_configuration
             .pointer("/settings/GroupSize")
@@ -53,21 +53,21 @@
             .max(1.0)
     }
 
-    /// A newer process takes this one's place in the cluster. Otherwise both would be at one address, and both would
-    /// use the proxy's slow-start share; the newer one agrees with the cluster anew.
+    /// Leaves the cluster to a newer process of this proxy, which joins under the same address. This process gives up
+    /// its slow-start share, so that both together do not exceed it.
     pub fn yield_cluster(&mut self) {
         if let Some(mut cluster) = self.cluster.take() {
-            cluster.port.close(&self.registry);
+            cluster.socket.deregister(&self.registry);
             self.assumed_cluster = Some(Assumed {
                 slow_start_share: 0.0,
                 ..cluster.assumed()
             });
         }
-        // The port of a proxy that may have to join again.
+        // Reserved for the socket in case this process has to rejoin.
         self.replenish_reserve_of(DescriptorPurpose::Cluster);
     }
 
-    /// The newer process has failed: this one takes its place in the cluster again.
+    /// Rejoins the cluster after the newer process has failed.
     pub fn rejoin_cluster(&mut self) {
         if self.cluster.is_some() {
             return;
@@ -75,12 +75,12 @@
         self.reserved_descriptors
             .release(DescriptorPurpose::Cluster);
         if let Err(error) = self.join_cluster() {
-            log::error!("cluster: {error}");
+            log::error!("cluster: cannot rejoin: {error}");
             self.replenish_reserve_of(DescriptorPurpose::Cluster);
         }
     }
 
-    /// Tells the others that this proxy shuts down, and sends no more requests.
+    /// Announces to the other members that this proxy shuts down and sends no more requests.
     pub fn leave_cluster(&mut self) {
         let now_ms = self.now();
         if let Some(cluster) = &mut self.cluster {
--- a/proxy/src/cluster/metrics.rs
+++ b/proxy/src/cluster/metrics.rs
@@ -1,11 +1,11 @@
-//! The cluster's lines of `/v1/metrics`. Their names are part of the interface.
+//! Cluster metrics for `/v1/metrics`. Their names are part of the public interface.
 
-use super::port::DatagramCounters;
+use super::socket::DatagramCounters;
 use super::state::Cluster;
 use crankmux_membership::MemberState;
 
 impl Cluster {
-    /// One metric a line.
+    /// Formats the metrics, one per line.
     pub fn metrics(&self) -> String {
         let members = self.membership.members();
         let count = |state: MemberState| {
@@ -18,7 +18,7 @@
             send_failed,
             accepted,
             rejected,
-        } = self.port.counters;
+        } = self.socket.counters;
         format!(
             "fleet_alive={}\nfleet_suspected={}\nfleet_failed={}\nfleet_left={}\nfleet_nodes_assumed={:.2}\n\
              fleet_cold_part={:.4}\nfleet_held_stricter={}\nfleet_sent={sent}\nfleet_unsent={send_failed}\n\
--- a/proxy/src/cluster/mod.rs
+++ b/proxy/src/cluster/mod.rs
@@ -1,6 +1,5 @@
-//! The other proxies of the cluster: a UDP port, and what comes of the datagrams. Who is a member, and what may be
-//! assumed of the others, is decided in the package `crankmux-membership`; a proxy without `[cluster]` in its operator
-//! file has none of this.
+//! Cluster membership: the UDP socket and the integration of the package `crankmux-membership`, which implements the
+//! protocol, into the proxy. Disabled without a `[cluster]` section in the operator configuration.
 
 mod config;
 mod endpoint_gossip;
@@ -8,7 +7,7 @@
 mod events;
 mod lifecycle;
 mod metrics;
-mod port;
+mod socket;
 mod state;
 /// The cluster status page `GET /fleet` of the admin API.
 pub mod status_page;
--- a/proxy/src/cluster/port.rs
+++ b/proxy/src/cluster/socket.rs
@@ -1,4 +1,4 @@
-//! The UDP port of the cluster.
+//! The cluster's UDP socket.
 
 use super::error::ClusterError;
 use crate::tokens::CLUSTER;
@@ -8,15 +8,15 @@
 use mio::{Interest, Registry};
 use std::io;
 
-/// Datagrams read in one turn of the event loop. A flood at the port would otherwise keep requests waiting: some
-/// 16,000 a second are read at most, each in microseconds; a cluster of a thousand sends a proxy some twenty.
-const MAX_DATAGRAMS_PER_TURN: usize = 32;
-/// How soon the next are read where more may wait.
-const READ_AGAIN_AFTER_MS: f64 = 2.0;
-/// Longer than any valid datagram, so that one that is too long is seen to be.
-const READ_BUFFER_LENGTH: usize = 2048;
+/// Limit on datagrams per read, so that a flood of datagrams cannot delay requests. With `READ_INTERVAL_MS` it allows
+/// 16,000 datagrams per second; a cluster of a thousand proxies sends each of them about twenty.
+const MAX_DATAGRAMS_PER_READ: usize = 32;
+/// Delay before the next read when the limit was reached.
+const READ_INTERVAL_MS: f64 = 2.0;
+/// Larger than any valid datagram, so that oversized ones are detected instead of truncated to a valid length.
+const READ_BUFFER_BYTES: usize = 2048;
 
-/// What became of the datagrams.
+/// Counts of datagrams since the start.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct DatagramCounters {
     pub(super) sent: u64,
@@ -25,15 +25,15 @@
     pub(super) rejected: u64,
 }
 
-/// The socket, and when to read it without an event.
-pub(super) struct ClusterPort {
+/// The UDP socket, and when to read it without an event.
+pub(super) struct ClusterSocket {
     socket: UdpSocket,
-    read_again_at_ms: f64,
+    next_read_at_ms: f64,
     pub(super) counters: DatagramCounters,
 }
 
-impl ClusterPort {
-    /// Opens the port.
+impl ClusterSocket {
+    /// Binds the socket and registers it for events.
     pub(super) fn open(
         options: &ClusterOptions,
         registry: &Registry,
@@ -51,46 +51,46 @@
         registry
             .register(&mut socket, CLUSTER, Interest::READABLE)
             .map_err(listen_error)?;
-        Ok(ClusterPort {
+        Ok(ClusterSocket {
             socket,
-            read_again_at_ms: f64::INFINITY,
+            next_read_at_ms: f64::INFINITY,
             counters: DatagramCounters::default(),
         })
     }
 
-    /// Takes the port out of the event loop.
-    pub(super) fn close(&mut self, registry: &Registry) {
-        // One that was not registered is as good as one taken out.
+    /// Removes the socket from the event loop.
+    pub(super) fn deregister(&mut self, registry: &Registry) {
+        // Fails only if it is not registered.
         let _ = registry.deregister(&mut self.socket);
     }
 
-    /// When to read again though no event has come, as more may wait than were read.
-    pub(super) fn read_again_at_ms(&self) -> f64 {
-        self.read_again_at_ms
+    /// When to read again without an event because datagrams may remain unread; infinite if none do.
+    pub(super) fn next_read_at_ms(&self) -> f64 {
+        self.next_read_at_ms
     }
 
-    /// Reads what has come, not more than one turn may take.
+    /// Reads up to `MAX_DATAGRAMS_PER_READ` datagrams and passes them to membership.
     pub(super) fn read(&mut self, now_ms: f64, membership: &mut Membership) {
-        let mut buffer = [0; READ_BUFFER_LENGTH];
-        self.read_again_at_ms = now_ms + READ_AGAIN_AFTER_MS;
-        for _ in 0..MAX_DATAGRAMS_PER_TURN {
+        let mut buffer = [0; READ_BUFFER_BYTES];
+        self.next_read_at_ms = now_ms + READ_INTERVAL_MS;
+        for _ in 0..MAX_DATAGRAMS_PER_READ {
             match self.socket.recv_from(&mut buffer) {
                 Ok((length, from)) => match membership.receive(now_ms, from, &buffer[..length]) {
                     Ok(()) => self.counters.accepted += 1,
                     Err(_) => self.counters.rejected += 1,
                 },
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => {
-                    // The next event tells when there is more.
-                    self.read_again_at_ms = f64::INFINITY;
+                    // The socket is drained, so the next datagram triggers an event.
+                    self.next_read_at_ms = f64::INFINITY;
                     return;
                 }
-                // Interrupted, or a datagram sent before found nobody at its port.
+                // Interrupted, or an ICMP error for an earlier datagram.
                 Err(_) => {}
             }
         }
     }
 
-    /// Sends what membership wants sent. A datagram that the system does not take is lost, as any may be.
+    /// Sends membership's pending datagrams. Those that cannot be sent are dropped; the protocol tolerates loss.
     pub(super) fn send(&mut self, membership: &mut Membership) {
         for (to, datagram) in membership.take_datagrams() {
             match self.socket.send_to(&datagram, to) {
--- a/proxy/src/cluster/status_page.rs
+++ b/proxy/src/cluster/status_page.rs
@@ -1,24 +1,24 @@
-//! The page `GET /fleet` of the admin API. Its keys are part of the interface.
+//! The cluster status page `GET /fleet` of the admin API. Its keys are part of the public interface.
 
-use super::port::DatagramCounters;
+use super::socket::DatagramCounters;
 use super::state::Cluster;
 use crankmux_membership::{Member, MemberState, NodeId, Reachability, ZoneReachability};
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// All that is known of the cluster. Times are milliseconds ago.
+/// The cluster as seen by this proxy. Times are ages in milliseconds.
 ///
-/// Here and below the fields stand in the alphabetical order of their keys, as the page has them. A reader of another
-/// version's page takes what is missing for empty.
+/// The fields of this and the following types are in alphabetical order of their keys. Keys missing in a page of
+/// another version are read as empty.
 #[derive(Debug, Default, Serialize, Deserialize)]
 #[serde(default)]
 pub struct ClusterStatus {
-    /// This proxy's part of a configured proxy's slow-start budget.
+    /// This proxy's share of the configured slow-start budget.
     #[serde(rename = "cold_part")]
     pub slow_start_share: f64,
-    /// What became of the datagrams.
+    /// Datagram counters.
     pub datagrams: DatagramStatus,
-    /// Endpoints whose status others' gossip makes stricter than the own list has it.
+    /// The number of endpoints whose gossiped status is stricter than that of this proxy's list.
     #[serde(rename = "held_stricter")]
     pub overridden_endpoints: usize,
     /// This proxy.
@@ -26,23 +26,23 @@
     pub local: NodeStatus,
     /// The other members.
     pub members: Vec<MemberStatus>,
-    /// The number of proxies that is assumed.
+    /// The assumed number of proxies.
     #[serde(rename = "nodes_assumed")]
     pub assumed_size: f64,
-    /// The number of proxies by the settings.
+    /// The number of proxies in the settings.
     #[serde(rename = "nodes_told")]
     pub configured_size: f64,
-    /// The number of proxies by load reports of endpoints.
+    /// The number of proxies estimated from endpoints' load reports.
     #[serde(rename = "nodes_told_by_servers")]
     pub load_based_size: Option<f64>,
-    /// How much of the cluster is reached.
+    /// Reachability of the cluster.
     #[serde(rename = "reach")]
     pub reachability: ReachabilityStatus,
-    /// How much of each zone is reached.
+    /// Reachability of each zone.
     pub zones: Vec<ZoneStatus>,
 }
 
-/// What became of the datagrams, counted since the start.
+/// Datagram counters since the start.
 #[derive(Debug, Default, Serialize, Deserialize)]
 #[serde(default)]
 pub struct DatagramStatus {
@@ -54,7 +54,7 @@
     pub rejected: u64,
     /// Sent.
     pub sent: u64,
-    /// Not taken by the system.
+    /// Failed to be sent.
     #[serde(rename = "unsent")]
     pub send_failed: u64,
 }
@@ -63,88 +63,88 @@
 #[derive(Debug, Default, Serialize, Deserialize)]
 #[serde(default)]
 pub struct NodeStatus {
-    /// The address at which others reach it.
+    /// The address advertised to other members.
     pub address: String,
-    /// Its incarnation.
+    /// The incarnation.
     #[serde(rename = "born")]
     pub incarnation: u64,
-    /// Its name.
+    /// The name.
     pub name: String,
-    /// The version of its program, as one number.
+    /// The program version as a number.
     #[serde(rename = "program")]
     pub program_version: u32,
-    /// The hash of its settings.
+    /// The hash of the settings.
     #[serde(rename = "settings")]
     pub settings_version: String,
-    /// Its zone.
+    /// The zone.
     pub zone: String,
 }
 
-/// Another member: its identity, and its state.
+/// The identity and state of another member.
 #[derive(Debug, Default, Serialize, Deserialize)]
 #[serde(default)]
 pub struct MemberStatus {
-    /// The address at which others reach it.
+    /// The address advertised to other members.
     pub address: String,
-    /// Its incarnation.
+    /// The incarnation.
     #[serde(rename = "born")]
     pub incarnation: u64,
-    /// Its name.
+    /// The name.
     pub name: String,
-    /// The version of its program, as one number.
+    /// The program version as a number.
     #[serde(rename = "program")]
     pub program_version: u32,
-    /// The hash of its settings.
+    /// The hash of the settings.
     #[serde(rename = "settings")]
     pub settings_version: String,
-    /// How long it has been in its state.
+    /// How long the member has been in this state.
     pub since_ms: f64,
     /// `alive`, `suspected`, `failed` or `left`.
     pub state: String,
-    /// Its zone.
+    /// The zone.
     pub zone: String,
 }
 
-/// How much of the cluster is reached, this proxy counted.
+/// Reachability of the cluster, with this proxy counted as reachable.
 #[derive(Debug, Default, Serialize, Deserialize)]
 #[serde(default)]
 pub struct ReachabilityStatus {
-    /// How many members there are, where only some are reached.
+    /// The number of members; only if [`PARTIAL`].
     #[serde(rename = "of", skip_serializing_if = "Option::is_none")]
     pub members: Option<usize>,
-    /// How many of them are reached, where only some are.
+    /// The number of reachable members; only if [`PARTIAL`].
     #[serde(skip_serializing_if = "Option::is_none")]
     pub reached: Option<usize>,
-    /// For how long not all are reached.
+    /// How long some members have been unreachable; none if [`FULL`].
     #[serde(skip_serializing_if = "Option::is_none")]
     pub since_ms: Option<f64>,
     /// [`FULL`], [`PARTIAL`] or [`ISOLATED`].
     pub state: String,
 }
 
-/// [`ReachabilityStatus::state`] where all members are reached.
+/// [`ReachabilityStatus::state`] if all members are reachable.
 pub const FULL: &str = "whole";
-/// [`ReachabilityStatus::state`] where some members are reached.
+/// [`ReachabilityStatus::state`] if some members are reachable.
 pub const PARTIAL: &str = "part";
-/// [`ReachabilityStatus::state`] where nobody else is reached.
+/// [`ReachabilityStatus::state`] if no other member is reachable.
 pub const ISOLATED: &str = "alone";
 
-/// How much of one zone is reached.
+/// Reachability of a zone.
 #[derive(Debug, Default, Serialize, Deserialize)]
 #[serde(default)]
 pub struct ZoneStatus {
-    /// How many members it has.
+    /// The number of members.
     #[serde(rename = "of")]
     pub members: usize,
-    /// How many of them are reached.
+    /// The number of reachable members.
     pub reached: usize,
-    /// For how long not all are reached; none while all are.
+    /// How long some members have been unreachable; none if all are reachable.
     pub since_ms: Option<f64>,
     /// The zone's name.
     pub zone: String,
 }
 
-/// The page's text.
+/// Formats the page as JSON.
 impl fmt::Display for ClusterStatus {
     fn fmt(&self, formatter: &mut fmt::Formatter) -> fmt::Result {
         let text = serde_json::to_string_pretty(self).map_err(|_| fmt::Error)?;
@@ -153,14 +153,14 @@
 }
 
 impl Cluster {
-    /// The status page.
+    /// Builds the status page.
     pub fn status(&self, now_ms: f64) -> ClusterStatus {
         let assumed = self.assumed();
         let members = self.membership.members();
         let zones = self.membership.zone_reachability();
         ClusterStatus {
             slow_start_share: assumed.slow_start_share,
-            datagrams: self.port.counters.into(),
+            datagrams: self.socket.counters.into(),
             overridden_endpoints: self.endpoint_view.overridden(),
             local: NodeStatus::new(self.membership.local()),
             members: members
@@ -256,7 +256,7 @@
     }
 }
 
-/// How long ago a moment was, in whole milliseconds.
+/// Time since a moment, in whole milliseconds.
 fn elapsed_ms(now_ms: f64, since_ms: f64) -> f64 {
     (now_ms - since_ms).max(0.0).round()
 }
@@ -270,13 +270,13 @@
     }
 }
 
-/// How much of the cluster is reached, for the log.
+/// Formats reachability for the log.
 pub(super) fn describe(reachability: Reachability) -> String {
     match reachability {
-        Reachability::Full => "the whole fleet".into(),
+        Reachability::Full => "all members are reachable".into(),
         Reachability::Partial {
             members, reached, ..
-        } => format!("{reached} of {members} nodes"),
-        Reachability::Isolated { .. } => "nobody else".into(),
+        } => format!("{reached} of {members} members are reachable"),
+        Reachability::Isolated { .. } => "no other member is reachable".into(),
     }
 }
