--- a/proxy/src/cli/mod.rs
+++ b/proxy/src/cli/mod.rs
@@ -1,4 +1,4 @@
-//! The command line. Without an argument the proxy runs, as its platform starts it.
+//! The command line. Without arguments the proxy is started.
 
 mod cluster;
 
@@ -8,19 +8,19 @@
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
-const ENVIRONMENT_HELP: &str = "The proxy itself is started without an argument:
+const ENVIRONMENT_HELP: &str = "Without arguments the proxy is started. It is configured by environment variables:
 
-  BALANCER_CONFIG           the configuration, one JSON file
-  BALANCER_LISTEN           where clients connect; takes precedence over the file's listen
-  BALANCER_DISCOVERY        the discovery agent; takes precedence over the file's discovery
-  BALANCER_ADMIN_ADDR       the admin API; takes precedence over the file's admin_addr
-  CRANKMUX_OPERATOR_CONFIG  what the proxy does beyond that, one TOML file; nothing without it
-  RUST_LOG                  how much is logged to standard error (info)
-  TMPDIR                    where the state directory stands
+  BALANCER_CONFIG           path of the configuration, a JSON file
+  BALANCER_LISTEN           address for clients; overrides listen in the configuration
+  BALANCER_DISCOVERY        address of the discovery agent; overrides discovery
+  BALANCER_ADMIN_ADDR       address of the admin API; overrides admin_addr
+  CRANKMUX_OPERATOR_CONFIG  path of the operator configuration, an optional TOML file
+  RUST_LOG                  log level of standard error (default: info)
+  TMPDIR                    parent of the state directory
 
-  SIGHUP reads the files again, SIGUSR1 prints counters, SIGTERM ends it once all accepted requests are answered.
-  Exit codes: 0 told to end, or valid; 1 it could not start or go on, or a file is faulty; 2 an argument that is
-  not known.";
+  SIGHUP reloads the files, SIGUSR1 logs the counters, SIGTERM shuts down after all accepted requests are answered.
+  Exit codes: 0 shut down by a signal, or the checked file is valid; 1 the proxy could not start or continue, or the
+  checked file is invalid; 2 unknown argument.";
 
 #[derive(Parser)]
 #[command(
@@ -37,44 +37,44 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Reports all that is wrong with an operator configuration
+    /// Validates an operator configuration and reports all errors
     Check {
-        /// The operator configuration's file
+        /// Path of the operator configuration
         file: PathBuf,
     },
-    /// Shows what a proxy knows of the others of its cluster
+    /// Shows the cluster status of a proxy
     Cluster(ClusterArguments),
-    /// Deprecated: the earlier form of `cluster`
+    /// Deprecated alias of `cluster`
     #[command(hide = true)]
     Fleet(FleetArguments),
 }
 
 #[derive(Args)]
 struct ClusterArguments {
-    /// The proxy's admin address, as its admin_addr says
+    /// Address of the proxy's admin API
     #[arg(long, value_name = "ADDRESS")]
     admin: SocketAddr,
 }
 
 #[derive(Args)]
 struct FleetArguments {
-    /// The proxy's admin address, as its admin_addr says
-    #[arg(long, value_name = "ADDRESS")]
-    door: SocketAddr,
+    /// Address of the proxy's admin API
+    #[arg(long = "door", value_name = "ADDRESS")]
+    admin: SocketAddr,
 }
 
-/// Runs the command that the arguments name; none where the proxy is to run.
+/// Runs the command given by the arguments. Returns `None` if the proxy is to be started.
 pub fn run_command() -> Option<ExitCode> {
-    // Parsing takes memory, which the platform charges a proxy for.
+    // Starting the proxy skips clap to save memory.
     if std::env::args_os().len() < 2 {
         return None;
     }
     match CommandLine::parse().command? {
         Command::Check { file } => Some(check(&file)),
         Command::Cluster(ClusterArguments { admin }) => Some(show_cluster(admin)),
-        Command::Fleet(FleetArguments { door }) => {
+        Command::Fleet(FleetArguments { admin }) => {
             eprintln!("`crankmux fleet --door` is deprecated; use `crankmux cluster --admin`");
-            Some(show_cluster(door))
+            Some(show_cluster(admin))
         }
     }
 }
--- a/proxy/src/metrics/access.rs
+++ b/proxy/src/metrics/access.rs
@@ -1,30 +1,30 @@
-//! Access metrics: what became of requests. A receipt is issued as a request is admitted, and handed back once, as
-//! its response is sent or its client is gone; all counts of requests follow from receipts.
+//! Access metrics: counts of request outcomes. Admission issues a `RequestReceipt`, which is consumed when the
+//! response is sent or the client disconnects, so that each request is counted exactly once.
 
 use crankmux::types::ClassId;
 use std::fmt::{self, Display};
 
-/// What a request came to.
+/// The outcome of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestOutcome {
     /// An endpoint's successful response was sent.
     Succeeded,
-    /// It was rejected with 503.
+    /// The request was rejected with 503.
     Rejected,
-    /// It failed, or its response was cut off.
+    /// The request failed, or its response was truncated.
     Failed,
-    /// Its client disconnected before the response was sent.
+    /// The client disconnected before the response was sent.
     ClientDisconnected,
 }
 
-/// One admitted request that has no outcome yet. It cannot be copied, so no request is counted twice.
+/// An admitted request without an outcome. Not `Clone`, so that no request is counted twice.
 #[derive(Debug)]
 #[must_use]
 pub struct RequestReceipt {
     request_class: ClassId,
 }
 
-/// How many requests of a class came to each outcome.
+/// Outcome counts of a request class.
 #[derive(Default, Clone, Copy)]
 struct OutcomeCounts {
     succeeded: u64,
@@ -32,17 +32,17 @@
     failed: u64,
 }
 
-/// Counts of requests by class and outcome, of forwarded attempts and of reloads.
+/// Counts of requests by class and outcome, forwarded attempts, and reloads.
 #[derive(Default)]
 pub struct AccessMetrics {
     /// By request class.
     outcomes: Vec<OutcomeCounts>,
     outstanding: u64,
-    /// Attempts whose last byte was sent.
+    /// Attempts sent completely.
     pub attempts_forwarded: u64,
-    /// Reloads whose configuration was applied.
+    /// Applied reloads.
     pub reloads_applied: u64,
-    /// Reloads whose configuration was rejected.
+    /// Rejected reloads.
     pub reloads_rejected: u64,
 }
 
@@ -53,7 +53,7 @@
         RequestReceipt { request_class }
     }
 
-    /// Counts an outstanding request's outcome.
+    /// Counts the outcome of an outstanding request.
     pub fn request_finished(&mut self, receipt: RequestReceipt, outcome: RequestOutcome) {
         self.outstanding -= 1;
         let class = receipt.request_class.index();
@@ -69,9 +69,10 @@
         }
     }
 
-    /// The metrics as text, one a line: for each class that was ever configured, from the first second on.
+    /// Formats the metrics, one per line. Every class that was ever configured is included, even with zero counts.
     ///
-    /// `uploading` requests are admitted but not yet received completely; they don't show as outstanding.
+    /// `uploading` is the number of requests admitted but not received completely, which are not reported as
+    /// outstanding.
     pub fn to_text(&self, request_classes: &[String], uploading: usize) -> String {
         let report = Report {
             metrics: self,
@@ -89,7 +90,7 @@
     }
 }
 
-/// The metrics with what their text needs beside them.
+/// Formats the metrics.
 struct Report<'a> {
     metrics: &'a AccessMetrics,
     request_classes: &'a [String],
--- a/proxy/src/metrics/counters.rs
+++ b/proxy/src/metrics/counters.rs
@@ -1,8 +1,8 @@
-//! Counters of what the process receives, sends and answers, logged on request and at exit.
+//! Process counters, logged on SIGUSR1 and at exit.
 
 use std::fmt;
 
-/// The counters since the start of the process.
+/// Counters since the start of the process.
 #[derive(Default)]
 pub struct Counters {
     /// Requests admitted.
@@ -11,25 +11,25 @@
     pub requests_succeeded: u64,
     /// Requests rejected, mostly with `Retry-After`.
     pub requests_rejected: u64,
-    /// Requests that failed for good.
+    /// Requests that failed after their last attempt.
     pub requests_failed: u64,
     /// Clients that disconnected before their response was complete.
     pub clients_disconnected: u64,
-    /// Invalid messages from clients, answered without a request.
+    /// Invalid messages from clients, answered without admission.
     pub invalid_requests: u64,
-    /// Clients that read nothing of their response for too long.
+    /// Clients that stopped reading their response.
     pub clients_stalled: u64,
-    /// Connections, requests and attempts that met a full table or an empty buffer pool.
+    /// Connections, requests and attempts refused because a table was full or the buffer pool was exhausted.
     pub capacity_exhausted: u64,
     /// Attempts sent to endpoints.
     pub attempts_sent: u64,
     /// Attempts that succeeded.
     pub attempts_succeeded: u64,
-    /// Attempts that an endpoint answered with an error.
+    /// Attempts answered with an error.
     pub attempts_failed: u64,
-    /// Attempts that an endpoint rejected.
+    /// Attempts rejected by an endpoint.
     pub attempts_rejected: u64,
-    /// Attempts without a response in time.
+    /// Attempts without a response before their timeout.
     pub attempts_timed_out: u64,
     /// Attempts for which no connection could be opened.
     pub attempts_unreachable: u64,
@@ -43,11 +43,11 @@
     pub connections_opened: u64,
     /// Load probes sent.
     pub load_probes_sent: u64,
-    /// Load probes that brought no load report.
+    /// Load probes that returned no load report.
     pub load_probes_failed: u64,
     /// Endpoint lists received.
     pub endpoint_lists_received: u64,
-    /// Polls of discovery that failed.
+    /// Failed polls of discovery.
     pub endpoint_polls_failed: u64,
 }
 
--- a/proxy/src/metrics/mod.rs
+++ b/proxy/src/metrics/mod.rs
@@ -1,6 +1,6 @@
-//! Counters of the process, for its log, and access metrics of its requests, for the admin API.
+//! Process counters for the log, and access metrics for the admin API.
 
-/// Access metrics: the outcome of each request, counted once.
+/// Access metrics: counts of request outcomes.
 pub mod access;
-/// Counters of what the process receives, sends and answers.
+/// Process counters.
 pub mod counters;
