--- a/proxy/src/buffers.rs
+++ b/proxy/src/buffers.rs
@@ -1,46 +1,45 @@
-//! Buffers of one size, from a bounded pool.
+//! Fixed-size I/O buffers from a bounded pool.
 
 use std::io::{self, Read, Write};
 use std::ops::Range;
 
-/// Longest head of a message: what common servers allow.
+/// Maximum length of a message head; a common limit of HTTP servers.
 pub const MAX_HEAD_BYTES: usize = 8 * 1024;
-/// Longest body of a message that is buffered whole: the protocol's figure.
+/// Maximum length of a body that is buffered completely.
 pub const MAX_BUFFERED_BODY_BYTES: usize = 64 * 1024;
-/// Longest body of a message that is streamed: the operators' figure.
+/// Maximum length of a body that is streamed.
 pub const MAX_BODY_BYTES: usize = 32 * 1024 * 1024;
-/// Size of the pool's buffers: a whole message, and room for the chunk heads that come with its end.
+/// Size of a pooled buffer: a complete message plus the framing of its last chunks.
 const BUFFER_BYTES: usize = MAX_HEAD_BYTES + MAX_BUFFERED_BODY_BYTES + 4 * 1024;
-/// Never read into: room for the lines that the proxy adds to a head that it forwards.
+/// Space that reads leave free for the header fields that the proxy adds when it forwards a head.
 const WRITE_RESERVE_BYTES: usize = 512;
-/// Buffers reserved for responses: were requests and attempts to take the last one, nothing that is in flight
-/// could be answered, and no buffer would ever be given back.
+/// Buffers reserved for responses. If requests and attempts could take the last buffer, no request in flight could
+/// be answered and the pool would deadlock.
 const RESPONSE_RESERVE: usize = 8;
 
-/// Bytes that are read from one connection or written to one.
+/// Bytes read from or to be written to a connection.
 pub struct Buffer {
     bytes: Box<[u8]>,
     filled: usize,
 }
 
-/// What a read has brought.
+/// The result of a read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReadOutcome {
-    /// Some bytes; more may be there.
+    /// Bytes were read; there may be more.
     Received,
-    /// Nothing for now.
+    /// No bytes are available yet.
     WouldBlock,
-    /// The peer has closed its side, in good order.
+    /// The peer closed its side of the connection cleanly.
     Closed,
-    /// The connection failed. It is told apart from a close, as a message that ends at the close would otherwise
-    /// be taken for complete.
+    /// The connection failed. Unlike a clean close, this never completes a message that is delimited by the close.
     Failed,
-    /// Nothing was read, as the buffer is full.
+    /// Nothing was read because the buffer is full.
     BufferFull,
 }
 
 impl Buffer {
-    /// An empty buffer outside the pool, for whoever keeps it for good.
+    /// Creates an empty buffer that does not belong to the pool.
     pub fn with_capacity(capacity: usize) -> Self {
         Buffer {
             bytes: vec![0; capacity].into_boxed_slice(),
@@ -48,7 +47,7 @@
         }
     }
 
-    /// Doubles the capacity, so that up to `max_readable` bytes can be read into it; whether it has grown.
+    /// Doubles the capacity, up to `max_readable` readable bytes. Returns whether the buffer has grown.
     pub fn grow(&mut self, max_readable: usize) -> bool {
         let capacity = self.capacity();
         let grown = (2 * capacity).min(max_readable + WRITE_RESERVE_BYTES);
@@ -61,22 +60,22 @@
         true
     }
 
-    /// How many bytes fit into it.
+    /// Total capacity in bytes.
     pub fn capacity(&self) -> usize {
         self.bytes.len()
     }
 
-    /// The bytes that are in it.
+    /// The buffered bytes.
     pub fn filled(&self) -> &[u8] {
         &self.bytes[..self.filled]
     }
 
-    /// The bytes that are in it.
+    /// The buffered bytes.
     pub fn filled_mut(&mut self) -> &mut [u8] {
         &mut self.bytes[..self.filled]
     }
 
-    /// Reads once, behind what is in it.
+    /// Reads once and appends the bytes to the buffer.
     pub fn read_from(&mut self, source: &mut impl Read) -> ReadOutcome {
         let readable_end = self.bytes.len() - WRITE_RESERVE_BYTES;
         if self.filled >= readable_end {
@@ -96,7 +95,7 @@
         }
     }
 
-    /// Removes a range; what stands behind it moves up.
+    /// Removes a range and shifts the bytes after it to its start.
     pub fn remove(&mut self, range: Range<usize>) {
         if !range.is_empty() {
             self.bytes.copy_within(range.end..self.filled, range.start);
@@ -104,7 +103,7 @@
         }
     }
 
-    /// Appends bytes, if all of them fit; whether they did.
+    /// Appends the bytes if all of them fit. Returns whether they did.
     #[must_use]
     pub fn append(&mut self, bytes: &[u8]) -> bool {
         let end = self.filled + bytes.len();
@@ -116,10 +115,11 @@
         true
     }
 
-    /// Writes what stands from `written` on, as far as it goes now; whether all of it is written.
+    /// Writes the bytes from offset `written` until done or the target would block. Returns whether all are written.
     ///
     /// # Errors
-    /// The connection failed.
+    ///
+    /// Fails if the connection does.
     pub fn write_to(&self, written: &mut usize, target: &mut impl Write) -> io::Result<bool> {
         while *written < self.filled {
             match target.write(&self.bytes[*written..self.filled]) {
@@ -134,16 +134,16 @@
     }
 }
 
-/// A bounded pool of buffers, all of one size.
+/// A bounded pool of buffers of one size.
 pub struct BufferPool {
     free: Vec<Box<[u8]>>,
-    /// How many buffers there are, free or taken.
+    /// The number of allocated buffers, free or taken.
     allocated: usize,
     capacity: usize,
 }
 
 impl BufferPool {
-    /// A pool of at most so many bytes.
+    /// Creates a pool limited to this many bytes.
     pub fn new(bytes: usize) -> Self {
         let mut pool = BufferPool {
             free: Vec::new(),
@@ -154,7 +154,7 @@
         pool
     }
 
-    /// Bounds the pool by so many bytes from now on; what is taken beyond that is freed as it is given back.
+    /// Changes the limit. Taken buffers above the new limit are freed when they are given back.
     pub fn resize(&mut self, bytes: usize) {
         self.capacity = (bytes / BUFFER_BYTES).max(2 * RESPONSE_RESERVE);
         while self.allocated > self.capacity && self.free.pop().is_some() {
@@ -162,7 +162,7 @@
         }
     }
 
-    /// A buffer for a request or an attempt; none where only those reserved for responses are left.
+    /// Takes a buffer for a request or an attempt; `None` if only those reserved for responses are left.
     pub fn take(&mut self) -> Option<Buffer> {
         let available = self.free.len() + self.capacity.saturating_sub(self.allocated);
         if available <= RESPONSE_RESERVE {
@@ -171,7 +171,7 @@
         self.take_reserved()
     }
 
-    /// A buffer for a response; none where all are taken.
+    /// Takes a buffer for a response; `None` if all are taken.
     pub fn take_reserved(&mut self) -> Option<Buffer> {
         if let Some(bytes) = self.free.pop() {
             return Some(Buffer { bytes, filled: 0 });
@@ -183,7 +183,7 @@
         Some(Buffer::with_capacity(BUFFER_BYTES))
     }
 
-    /// Gives a buffer back that was taken from the pool.
+    /// Returns a buffer to the pool.
     pub fn give_back(&mut self, buffer: Buffer) {
         if self.allocated > self.capacity {
             self.allocated -= 1;
--- a/proxy/src/downstream/eviction.rs
+++ b/proxy/src/downstream/eviction.rs
@@ -4,7 +4,7 @@
 use super::{DownstreamConnections, NEW_CLIENT_GRACE_MS};
 use crate::proxy::Proxy;
 use crate::slot_table::DownstreamKey;
-use crate::socket::is_silent;
+use crate::socket::is_open_and_idle;
 
 /// The share of all clients' connections that may stand idle after a response. Clients that ask once and stay
 /// use up what their side may open, and others, who would ask, find no connection left.
@@ -61,7 +61,7 @@
         let longest_idle = self.downstream.table.key_with_least(|client| {
             let may_close = client.is_idle()
                 && now_ms - client.idle_since_ms > NEW_CLIENT_GRACE_MS
-                && is_silent(&client.stream);
+                && is_open_and_idle(&client.stream);
             may_close.then_some(client.idle_since_ms)
         });
         if let Some(key) = longest_idle {
@@ -108,7 +108,7 @@
         idle.sort_unstable_by(|left, right| idle_since_ms(left).total_cmp(&idle_since_ms(right)));
         for key in idle.into_iter().take(excess) {
             // One that speaks up just now is heard.
-            if is_silent(&self.downstream.table[key].stream) {
+            if is_open_and_idle(&self.downstream.table[key].stream) {
                 self.drop_downstream(key);
             }
         }
--- a/proxy/src/downstream/read_request.rs
+++ b/proxy/src/downstream/read_request.rs
@@ -174,7 +174,7 @@
                 self.counters.invalid_requests += 1;
                 self.reject(key, RequestError::RetiredClass);
             }
-            RequestKind::Forwarded(_, id_hash) if self.requests.is_open(id_hash) => {
+            RequestKind::Forwarded(_, id_hash) if self.requests.is_id_in_use(id_hash) => {
                 self.counters.invalid_requests += 1;
                 self.reject(key, RequestError::DuplicateRequestId);
             }
@@ -188,7 +188,7 @@
     /// Admits a request, which may be answered in the course of it.
     fn admit_request(&mut self, key: DownstreamKey, request: NewRequest, id_hash: u64) {
         let request_id = self.admit(key, request, id_hash);
-        if !self.requests.waits(request_id) {
+        if !self.requests.is_unanswered(request_id) {
             return;
         }
         let Some(client) = self.downstream.table.get_mut(key) else {
--- a/proxy/src/downstream/write_response.rs
+++ b/proxy/src/downstream/write_response.rs
@@ -7,7 +7,7 @@
 use crate::metrics::access::RequestOutcome;
 use crate::proxy::Proxy;
 use crate::slot_table::{DownstreamKey, UpstreamKey};
-use crate::socket::{has_unread_data, is_silent};
+use crate::socket::{has_unread_data, is_open_and_idle};
 use std::net::Shutdown;
 
 /// How long a connection stays on which no request follows the last response: longer than clients pause
@@ -49,8 +49,8 @@
     /// Nothing else but its close is of interest.
     fn request_next_piece(&mut self, key: DownstreamKey) {
         let client = &self.downstream.table[key];
-        let has_left =
-            client.peer_closed || !(is_silent(&client.stream) || has_unread_data(&client.stream));
+        let has_left = client.peer_closed
+            || !(is_open_and_idle(&client.stream) || has_unread_data(&client.stream));
         if has_left {
             log::debug!("a client left in the middle of its response");
             return self.drop_downstream(key);
@@ -74,7 +74,7 @@
         client.responses_sent = client.responses_sent.saturating_add(1);
         let is_finished = client.after_response == AfterResponse::Close
             && client.read_buffer.is_none()
-            && is_silent(&client.stream);
+            && is_open_and_idle(&client.stream);
         if is_finished {
             self.drop_downstream(key);
             return false;
--- a/proxy/src/event_loop.rs
+++ b/proxy/src/event_loop.rs
@@ -1,4 +1,4 @@
-//! One turn of the event loop: poll, dispatch what lay ready, run what was due, settle.
+//! One iteration of the event loop: poll, dispatch events, run due timers and periodic work.
 
 use crate::proxy::Proxy;
 use crate::tokens::EventSource;
@@ -8,16 +8,16 @@
 use std::time::Duration;
 
 impl Proxy {
-    /// Waits for events until something is due, handles them, then runs what was due before the wait. Returns
-    /// whether a signal has arrived.
+    /// Polls until the next timer is due, dispatches the events, then runs the timers that were due before the poll.
+    /// Returns whether a signal has arrived.
     ///
-    /// The order matters after a pause of the process: an answer, a client's end and the time at which either is
-    /// too late may lie ready together. Whatever lay ready by a time is handled before that time counts.
+    /// Events come first because the process may have been paused: a response that arrived in time must not be
+    /// timed out by a timer that became due during the pause.
     ///
     /// # Errors
     ///
-    /// Fails where the poll does; an interrupted one counts as one without events.
-    pub fn turn(&mut self, poll: &mut Poll, events: &mut Events) -> io::Result<bool> {
+    /// Fails if the poll does. An interrupted poll counts as one without events.
+    pub fn run_once(&mut self, poll: &mut Poll, events: &mut Events) -> io::Result<bool> {
         let polled_at = self.now();
         let timeout = self.time_until_next_due(polled_at);
         if let Err(error) = poll.poll(events, timeout) {
@@ -43,14 +43,14 @@
         .map(|at| Duration::from_secs_f64((at - now).max(0.0) / 1000.0))
     }
 
-    /// Runs the timers that were due by a time, then everything that goes on turn by turn.
-    fn run_due(&mut self, by: f64) {
-        while let Some(callback) = self.timers.take_due(by) {
+    /// Runs the timers due by `due_by`, then the work of every iteration.
+    fn run_due(&mut self, due_by: f64) {
+        while let Some(callback) = self.timers.take_due(due_by) {
             callback(self);
-            self.settle();
+            self.process_ready_connections();
         }
         let now = self.now();
-        for (request, steps) in self.dispatcher.tick(now, by) {
+        for (request, steps) in self.dispatcher.tick(now, due_by) {
             self.follow_steps(request, steps);
         }
         if self.dispatcher.take_list_request() {
@@ -61,20 +61,20 @@
         if self.upgrade.waits_to_accept() && self.ready() {
             self.start_accepting();
         }
-        self.settle();
+        self.process_ready_connections();
     }
 
-    /// Handles all events of a poll; returns whether a signal is among them.
+    /// Dispatches all events of a poll. Returns whether a signal is among them.
     fn dispatch_events(&mut self, events: &Events) -> bool {
         self.mark_closed_clients(events);
         for event in events {
             if self.dispatch_control_event(EventSource::of(event.token())) {
-                self.settle();
+                self.process_ready_connections();
             }
         }
         for client in self.downstream.take_closed() {
             self.serve(client);
-            self.settle();
+            self.process_ready_connections();
         }
         let mut signalled = false;
         for event in events {
@@ -85,14 +85,13 @@
                 EventSource::Upstream(connection) => self.upstream_event(connection),
                 _ => continue,
             }
-            self.settle();
+            self.process_ready_connections();
         }
         signalled
     }
 
-    /// Notes which clients have left before anything else is done. A failed attempt or a free slot would
-    /// otherwise send on the request of a client whose close lies ready too; and once events are handled, its key
-    /// may stand for another client.
+    /// Marks disconnected clients before any other event is dispatched, so that no new attempt is sent for a client
+    /// whose close is already known. It must come first because dispatching may reuse a client's key.
     fn mark_closed_clients(&mut self, events: &Events) {
         let is_closed = |event: &Event| event.is_read_closed() || event.is_error();
         for event in events {
@@ -104,9 +103,10 @@
         }
     }
 
-    /// Handles an event of anything but clients and endpoints, and returns whether it was one. These go first:
-    /// under a flood of clients an operator would wait for all of them, and an attempt would go out to an endpoint
-    /// whose drain lies ready from discovery.
+    /// Handles an event unless it belongs to a client or endpoint connection. Returns whether it was handled.
+    ///
+    /// These events have priority: admin calls must not wait behind many clients, and a drain received from
+    /// discovery must apply before the next attempt is sent.
     fn dispatch_control_event(&mut self, source: EventSource) -> bool {
         match source {
             EventSource::AdminListener => self.accept_admin_callers(),
@@ -124,8 +124,8 @@
         true
     }
 
-    /// Does what the last event has left to do on other connections.
-    fn settle(&mut self) {
+    /// Processes connections that became ready as a result of the last event or timer.
+    fn process_ready_connections(&mut self) {
         while !(self.writable_upstream.is_empty() && self.downstream.none_ready()) {
             while let Some(connection) = self.writable_upstream.pop() {
                 self.upstream_event(connection);
--- a/proxy/src/lib.rs
+++ b/proxy/src/lib.rs
@@ -1,11 +1,11 @@
-//! The reverse proxy: carries the decisions of the `crankmux` library out on sockets, on one thread and one event
+//! The reverse proxy: I/O for the load balancing decisions of the `crankmux` library, in one single-threaded event
 //! loop.
 //!
-//! [`downstream`] holds the connections of clients, [`upstream`] those to endpoints, [`streaming`] moves long bodies
-//! between both, [`http`] reads and writes messages, and [`requests`] the requests in flight. [`discovery`] keeps the
-//! endpoint list, [`cluster`] the other proxies, [`admin`] the operators' calls and [`metrics`] their figures.
-//! [`config`] reads what the proxy is set to, [`lifecycle`] starts, reloads, upgrades and stops it. [`proxy`] owns
-//! all of them and turns events into calls.
+//! [`downstream`] manages client connections, [`upstream`] connections to endpoints, [`streaming`] long bodies
+//! between both, [`http`] message parsing and writing, and [`requests`] the requests in flight. [`discovery`] polls
+//! the endpoint list, [`cluster`] tracks the other proxies, [`admin`] serves the admin API and [`metrics`] its
+//! counters. [`config`] parses the configuration; [`lifecycle`] covers start, reload, upgrade and shutdown. [`proxy`]
+//! owns the state of all of them.
 
 /// The HTTP admin API for operators.
 pub mod admin;
@@ -17,15 +17,15 @@
 pub mod cluster;
 /// Configuration files: the platform's JSON and the operator's TOML.
 pub mod config;
-/// File descriptors: held in reserve by purpose, and what found none.
+/// Reserved file descriptors, and counts of failures to obtain one.
 pub mod descriptors;
 /// Service discovery: polls for the endpoint list and its changes.
 pub mod discovery;
 /// Client connections.
 pub mod downstream;
-/// The endpoint list as service discovery and the configuration give it.
+/// Parsing of the endpoint list from service discovery and the configuration.
 pub mod endpoint_list;
-/// One turn of the event loop: poll, dispatch events, run timers.
+/// One iteration of the event loop: poll, dispatch events, run timers.
 pub mod event_loop;
 /// HTTP/1.1 parsing, body framing and message writing.
 pub mod http;
@@ -36,7 +36,7 @@
 pub mod listener;
 /// Process counters and access metrics.
 pub mod metrics;
-/// The proxy itself: owner of all tables, sockets and timers.
+/// The proxy: all connection tables, sockets and timers.
 pub mod proxy;
 /// The steps of a request: admission, attempts, response and cleanup.
 pub mod request_lifecycle;
@@ -44,15 +44,15 @@
 pub mod requests;
 /// Limits on connections, requests, buffers and file descriptors.
 pub mod resource_limits;
-/// Bounded tables of connections.
+/// Connection tables of bounded size.
 pub mod slot_table;
-/// Queries of a TCP connection's state that read nothing from it.
+/// Checks of a TCP connection's state that consume no data.
 pub mod socket;
 /// Streaming of request and response bodies that are longer than one buffer.
 pub mod streaming;
 /// The clock, and timers with callbacks.
 pub mod timers;
-/// Poll tokens: which event source each number identifies.
+/// Poll tokens and the event sources that they identify.
 pub mod tokens;
-/// Connections to endpoints, and the attempts that they carry.
+/// Connections to endpoints and the attempts sent over them.
 pub mod upstream;
--- a/proxy/src/lifecycle/shutdown.rs
+++ b/proxy/src/lifecycle/shutdown.rs
@@ -36,24 +36,27 @@
         let now = proxy.now();
         proxy.shutdown_at = Some(now);
         let longest = proxy.longest_ttl_ms.min(MAX_DEADLINE_MS);
-        proxy.answer_by = now + longest + EXIT_DELAY_MS - RESPONSE_DELIVERY_MS;
+        proxy.response_deadline = now + longest + EXIT_DELAY_MS - RESPONSE_DELIVERY_MS;
         // The deadline of a request already accepted may be later than the exit.
-        proxy.limit_deadlines(proxy.answer_by);
+        proxy.limit_deadlines(proxy.response_deadline);
         self.close_idle_at_ms = now + IDLE_GRACE_MS;
         if proxy.upgrade.has_newer_process() {
             // A request that crosses the close of an idle connection is lost. Clients that send requests are told
             // to close their connections; those of the others stay open as long as half the longest deadline
             // remains for a late request.
-            self.close_idle_at_ms = self.close_idle_at_ms.max(proxy.answer_by - 0.5 * longest);
+            self.close_idle_at_ms = self
+                .close_idle_at_ms
+                .max(proxy.response_deadline - 0.5 * longest);
             self.listener_closed = true;
             proxy.shut();
         }
-        self.close_listener_at_ms = (self.close_idle_at_ms + RETRY_GRACE_MS).min(proxy.answer_by);
+        self.close_listener_at_ms =
+            (self.close_idle_at_ms + RETRY_GRACE_MS).min(proxy.response_deadline);
         // These timers only wake the event loop.
         for at in [
             self.close_idle_at_ms,
             self.close_listener_at_ms,
-            proxy.answer_by,
+            proxy.response_deadline,
         ] {
             proxy.timers.set(at, |_| {});
         }
@@ -66,14 +69,16 @@
         }
         if proxy.now() < self.close_idle_at_ms {
             // Without clients there is nothing to wait for.
-            return self.listener_closed && proxy.finished() && proxy.downstream.is_empty();
+            return self.listener_closed
+                && proxy.all_responses_sent()
+                && proxy.downstream.is_empty();
         }
         if proxy.now() >= self.close_listener_at_ms && !self.listener_closed {
             self.listener_closed = true;
             proxy.shut();
         }
-        let is_past_deadline = proxy.now() >= proxy.answer_by;
+        let is_past_deadline = proxy.now() >= proxy.response_deadline;
         proxy.close_idle(is_past_deadline);
-        self.listener_closed && proxy.finished()
+        self.listener_closed && proxy.all_responses_sent()
     }
 }
--- a/proxy/src/lifecycle/start.rs
+++ b/proxy/src/lifecycle/start.rs
@@ -50,11 +50,11 @@
     let mut signals = watch_signals(&poll).map_err(RunError::Signals)?;
     let mut proxy = Proxy::new(configuration, cluster_config, &poll)?;
     // Room for one event per descriptor: events left for the next turn would be handled after timers already due.
-    let mut events = Events::with_capacity(proxy.sockets());
+    let mut events = Events::with_capacity(proxy.descriptor_limit());
     let mut shutdown = Shutdown::default();
     while !shutdown.advance(&mut proxy) {
         let signalled = proxy
-            .turn(&mut poll, &mut events)
+            .run_once(&mut poll, &mut events)
             .map_err(RunError::EventLoop)?;
         if signalled {
             handle_signals(&mut signals, &mut proxy, &mut shutdown);
--- a/proxy/src/listener.rs
+++ b/proxy/src/listener.rs
@@ -1,18 +1,18 @@
-//! The address at which clients connect.
+//! The listening socket for clients.
 
 use socket2::{Domain, Socket, Type};
 use std::io;
 use std::net::{SocketAddr, TcpListener};
 
-/// Connections that the system holds until they are accepted: as many as it allows by default.
+/// Length of the accept queue.
 const BACKLOG: i32 = 1024;
 
-/// Binds the listener. The port is shared, so that the newer process of an upgrade can listen where no listener
-/// was handed over.
+/// Binds the listener. The port is shared so that the newer process of an upgrade can bind it when the older one
+/// has not handed over its listener.
 ///
 /// # Errors
 ///
-/// The address is not this machine's, or is taken.
+/// Fails if the address is not available.
 pub fn bind(address: SocketAddr) -> io::Result<TcpListener> {
     let socket = Socket::new(Domain::for_address(address), Type::STREAM, None)?;
     socket.set_reuse_address(true)?;
--- a/proxy/src/main.rs
+++ b/proxy/src/main.rs
@@ -1,5 +1,5 @@
-//! crankmux: a reverse proxy that spreads requests over HTTP endpoints. The library `crankmux` decides; the library
-//! `crankmux_proxy` carries the decisions out on sockets; this program starts it.
+//! crankmux: a reverse proxy that spreads requests over HTTP endpoints. This program parses the command line and
+//! starts the proxy of the library `crankmux_proxy`.
 
 use crankmux_proxy::{cli, lifecycle};
 use std::process::ExitCode;
--- a/proxy/src/proxy.rs
+++ b/proxy/src/proxy.rs
@@ -1,6 +1,5 @@
-//! The proxy: owner of all tables, sockets and timers. This file holds the struct and its construction; the
-//! turns of its event loop are in `event_loop`, the steps of a request in `request_lifecycle`, and what it does
-//! on sockets beside the types of each kind of connection.
+//! `Proxy` and its construction. Its event loop is in `event_loop`, the handling of a request in
+//! `request_lifecycle`, and its I/O in the modules of each kind of connection.
 
 use crate::admin::disabled_endpoints::DisabledEndpoints;
 use crate::admin::{self, AdminServer};
@@ -30,107 +29,105 @@
 use std::io;
 use std::net::SocketAddr;
 
-/// How long a new process leaves clients in the system's accept queue while discovery has not answered. The
-/// endpoint list that a process starts with is older than what the discovery agent knows, so the agent is heard
-/// first. It runs on this machine and answers at once; a tenth of a second shows that it is silent.
+/// How long a new process waits for discovery before it accepts clients, because the endpoint list it starts with
+/// may be outdated. The discovery agent runs on the same machine and normally answers at once.
 const FIRST_ENDPOINT_LIST_WAIT_MS: f64 = 100.0;
 
-/// Why a proxy could not be built.
+/// Why a proxy could not be started.
 #[derive(Debug, thiserror::Error)]
 pub enum ProxyError {
-    /// The address for clients cannot be listened at.
+    /// The client listener cannot be opened.
     #[error("listen: {address}: {source}")]
     Listen {
-        /// The address of the configuration.
+        /// The configured address.
         address: SocketAddr,
-        /// What the system said.
+        /// The cause.
         source: io::Error,
     },
-    /// The address of the admin API cannot be listened at.
+    /// The admin listener cannot be opened.
     #[error("admin_addr: {0}")]
     ListenAdmin(#[source] io::Error),
     /// The connection to the other process of an upgrade cannot be set up.
     #[error(transparent)]
     Upgrade(io::Error),
-    /// The poll's registry cannot be shared.
+    /// The poll registry cannot be cloned.
     #[error(transparent)]
     Registry(io::Error),
     /// The proxy cannot join its cluster.
     #[error(transparent)]
     JoinCluster(#[from] ClusterError),
-    /// The endpoint list of the configuration, or of the older process, cannot be read.
+    /// The endpoint list of the configuration or of the older process is invalid.
     #[error("known: {0}")]
     KnownEndpoints(#[from] EndpointListError),
 }
 
-/// Everything that a proxy process holds.
+/// The state of a proxy process.
 pub struct Proxy {
-    /// Where sockets are registered for events.
+    /// The registry of the poll.
     pub registry: Registry,
-    /// The time.
+    /// Monotonic Unix time.
     pub clock: Clock,
     /// The buffer pool of all connections.
     pub buffers: BufferPool,
-    /// What is due when.
+    /// Pending timers.
     pub timers: Timers<Proxy>,
-    /// Counts for operators, logged on request and at exit.
+    /// Process counters, logged on SIGUSR1 and at exit.
     pub counters: Counters,
-    /// Metrics of requests, by request class and tenant.
+    /// Request outcomes by request class.
     pub access_metrics: AccessMetrics,
     /// The admin API.
     pub admin: AdminServer,
-    /// Connections from clients.
+    /// Client connections.
     pub downstream: DownstreamConnections,
     /// Connections to endpoints.
     pub upstream: Upstreams<Proxy>,
-    /// The poll for the endpoint list.
+    /// Polls service discovery for the endpoint list.
     pub discovery: Discovery,
     /// Requests in flight.
     pub requests: Requests,
-    /// The load balancing decisions.
+    /// Makes the load balancing decisions.
     pub dispatcher: Dispatcher,
-    /// Indices that stand for the names of endpoints, request classes and tenants.
+    /// Maps the names of endpoints, request classes and tenants to indices.
     pub name_index: NameIndex,
-    /// Connections to endpoints that have something to write.
+    /// Connections to endpoints with data to write.
     pub writable_upstream: Vec<UpstreamKey>,
     /// Load probes in flight.
     pub probes_in_flight: usize,
     /// The request header that carries the affinity key, if one is configured.
     pub key_header: Option<String>,
-    /// When shutdown began.
+    /// Start of the shutdown; `None` while the proxy runs.
     pub shutdown_at: Option<f64>,
-    /// During shutdown, when the last response must be out.
-    pub answer_by: f64,
-    /// The longest deadline of all request classes.
+    /// By when all responses must be sent; infinite unless shutting down.
+    pub response_deadline: f64,
+    /// The longest time to live of all request classes.
     pub longest_ttl_ms: f64,
     /// The configuration in force.
     pub active_configuration: Value,
-    /// Where state outlives the process.
+    /// Directory of the state that persists across restarts.
     pub state_directory: StateDirectory,
     /// Endpoints disabled by an operator.
     pub disabled_endpoints: DisabledEndpoints,
     /// The other processes of this proxy during an upgrade.
     pub upgrade: Upgrade,
-    /// File descriptors kept back for what must go on while clients hold all others, by purpose.
+    /// File descriptors reserved by purpose, for work that must continue when clients use up all others.
     pub reserved_descriptors: ReservedDescriptors,
-    /// How many file descriptors connections to endpoints have for themselves, open or reserved.
+    /// The number of file descriptors set aside for connections to endpoints, whether open or reserved.
     pub(crate) attempt_reserve: usize,
-    /// What wanted a file descriptor and found none.
+    /// Counts of failures to obtain a file descriptor.
     pub descriptor_shortages: DescriptorShortages,
-    /// How to join the cluster, where the operator's configuration has one.
+    /// The cluster configuration, if the operator configuration has one.
     pub cluster_config: Option<ClusterConfig>,
     /// The cluster, once joined.
     pub cluster: Option<Cluster>,
-    /// The number of proxies that share the endpoints and this one's part of the slow-start budget, once it has joined
-    /// a cluster.
+    /// The assumed cluster size and this proxy's share of the slow-start budget; `None` before it joins a cluster.
     pub assumed_cluster: Option<Assumed>,
-    /// File descriptors that all processes of the proxy may hold together.
-    pub(crate) sockets: usize,
-    /// Memory for buffers that all processes of the proxy may hold together.
+    /// Limit on the file descriptors of all processes of the proxy.
+    pub(crate) descriptor_limit: usize,
+    /// Limit on the buffer memory of all processes of the proxy.
     pub(crate) buffer_bytes: usize,
 }
 
-/// The sockets that a proxy starts with.
+/// The sockets opened at start.
 struct Sockets {
     registry: Registry,
     listener: TcpListener,
@@ -176,12 +173,12 @@
 }
 
 impl Proxy {
-    /// Listens, takes over from an older process if there is one, joins the cluster, and either reads the known
-    /// endpoint list or polls discovery for one.
+    /// Opens the listeners, takes over from an older process if there is one, joins the cluster, and applies the
+    /// known endpoint list or starts polling discovery for it.
     ///
     /// # Errors
     ///
-    /// Fails where an address cannot be listened at, or the known endpoint list cannot be read.
+    /// Fails if a listener or the cluster's socket cannot be opened, or the known endpoint list is invalid.
     pub fn new(
         mut configuration: Configuration,
         cluster_config: Option<ClusterConfig>,
@@ -231,7 +228,7 @@
             probes_in_flight: 0,
             key_header: configuration.key_header,
             shutdown_at: None,
-            answer_by: f64::INFINITY,
+            response_deadline: f64::INFINITY,
             longest_ttl_ms: configuration.longest_ttl_ms,
             active_configuration: configuration.document,
             state_directory,
@@ -243,20 +240,20 @@
             cluster_config,
             cluster: None,
             assumed_cluster: None,
-            sockets: configuration.descriptor_limit,
+            descriptor_limit: configuration.descriptor_limit,
             buffer_bytes: configuration.buffer_bytes,
         }
     }
 
-    /// Starts from what an older process knew, else from the endpoint list of the configuration.
+    /// Restores the state of an older process, or else applies the endpoint list of the configuration.
     fn restore(&mut self, inherited: HandoverSnapshot, known: Value) -> Result<(), ProxyError> {
         for stable_hash in inherited.ever_listed {
             self.disabled_endpoints.record_listed(stable_hash);
         }
-        // Ahead of any endpoint list: nothing may be sent to an endpoint that was disabled before this start.
+        // Before any endpoint list is applied, so that nothing is sent to endpoints that are already disabled.
         self.watch_disabled_endpoints();
         self.apply_process_share();
-        // Ahead of any endpoint list, which is gossiped to the other proxies.
+        // Before any endpoint list is applied, because applying it also gossips it.
         self.join_cluster()?;
         let endpoint_list = if inherited.endpoint_list.is_null() {
             known
@@ -288,7 +285,7 @@
         self.timers.set(at, Proxy::listen_after_first_list);
     }
 
-    /// Accepts clients, as discovery has answered or is silent.
+    /// Starts accepting clients after the first response of discovery or its timeout.
     pub fn listen_after_first_list(&mut self) {
         if !self.stopping() && !self.upgrade.waits_to_accept() && !self.upgrade.has_newer_process()
         {
@@ -296,7 +293,7 @@
         }
     }
 
-    /// The time, in Unix milliseconds.
+    /// The current time in Unix milliseconds.
     pub fn now(&self) -> f64 {
         self.clock.now()
     }
@@ -306,18 +303,18 @@
         self.shutdown_at.is_some()
     }
 
-    /// The most file descriptors that the proxy holds; each has one event at most in a poll.
-    pub fn sockets(&self) -> usize {
-        self.sockets
+    /// The maximum number of open file descriptors, and thus of events per poll.
+    pub fn descriptor_limit(&self) -> usize {
+        self.descriptor_limit
     }
 
-    /// Whether clients may come: an endpoint is known, and discovery has answered or failed to.
+    /// Whether the proxy is ready for clients: an endpoint is available and the first poll of discovery has finished.
     pub fn ready(&self) -> bool {
         self.upstream.any_available() && self.discovery.first_poll_finished() && !self.stopping()
     }
 
-    /// Whether no response is owed to any client.
-    pub fn finished(&self) -> bool {
-        self.requests.none_waits() && !self.downstream.any_busy()
+    /// Whether all requests are answered and their responses sent.
+    pub fn all_responses_sent(&self) -> bool {
+        self.requests.all_answered() && !self.downstream.any_busy()
     }
 }
--- a/proxy/src/request_lifecycle.rs
+++ b/proxy/src/request_lifecycle.rs
@@ -1,4 +1,4 @@
-//! The life of a request: admitted, sent out in attempts as the dispatcher decides, answered, and dropped.
+//! The lifecycle of a request: admission, attempts as decided by the dispatcher, response, and removal.
 
 use crate::proxy::Proxy;
 use crate::slot_table::{DownstreamKey, UpstreamKey};
@@ -8,10 +8,10 @@
     AttemptOutcome, AttemptResult, EndpointId, LoadReport, NewRequest, RequestId,
 };
 
-/// The least time that a request gets when it is admitted near the end of the process.
+/// Minimum time to live of a request admitted shortly before the process exits.
 const MIN_TTL_MS: f64 = 1.0;
 
-/// One attempt of a request, since its start.
+/// A started attempt of a request.
 #[derive(Clone, Copy)]
 struct StartedAttempt {
     request: RequestId,
@@ -22,7 +22,7 @@
 }
 
 impl Proxy {
-    /// Admits a client's request, known by the hash of its request id, and takes its first steps.
+    /// Admits a client's request and applies the dispatcher's first decisions for it.
     pub fn admit(
         &mut self,
         client: DownstreamKey,
@@ -31,10 +31,10 @@
     ) -> RequestId {
         self.counters.requests_admitted += 1;
         let now = self.now();
-        // What is admitted near the end of the process must be answered before that.
+        // During shutdown the response must be sent before the process exits.
         let ttl_ms = new_request
             .ttl_ms
-            .min((self.answer_by - now).max(MIN_TTL_MS));
+            .min((self.response_deadline - now).max(MIN_TTL_MS));
         let request = self.requests.admit(client, now + ttl_ms, request_id_hash);
         let steps = self.dispatcher.request_arrived(
             now,
@@ -48,7 +48,7 @@
         request
     }
 
-    /// Carries out what the dispatcher has decided for a request.
+    /// Applies the dispatcher's decisions for a request.
     pub(crate) fn follow_steps(&mut self, request: RequestId, steps: NextSteps) {
         for attempt in steps.cancel {
             if let Some(connection) = self.requests.connection_of(request, attempt) {
@@ -69,11 +69,11 @@
         for attempt in steps.attempts {
             self.start_attempt(request, attempt);
         }
-        self.requests.drop_if_done(request);
+        self.requests.remove_if_finished(request);
     }
 
     fn answer_without_response(&mut self, request: RequestId, status: u16, retry_after_ms: f64) {
-        if let Some(client) = self.requests.answered(request) {
+        if let Some(client) = self.requests.take_client(request) {
             self.answer(client, status, retry_after_ms);
         }
     }
@@ -111,8 +111,8 @@
         }
     }
 
-    /// The body of an attempt is streamed: its request has begun to go to the endpoint, or has gone whole, or its
-    /// response begins to come back. `endpoint_works` is whether the endpoint works at the request from now on.
+    /// Notifies the dispatcher of progress of a streamed body: the request was partly or completely sent, or the
+    /// response started to arrive. `endpoint_works` is whether the endpoint is processing the request from now on.
     pub fn streaming_progress(
         &mut self,
         request: RequestId,
@@ -126,7 +126,8 @@
         }
     }
 
-    /// An attempt has ended: the first successful response goes to the client, any outcome to the dispatcher.
+    /// Handles the end of an attempt: sends the first successful response to the client, and notifies the dispatcher
+    /// of the outcome.
     fn attempt_ended(&mut self, attempt: StartedAttempt, completion: AttemptCompletion) {
         let AttemptCompletion {
             outcome,
@@ -145,11 +146,11 @@
         );
         self.requests.attempt_ended(attempt.request, attempt.number);
         let client = if outcome == AttemptOutcome::Succeeded {
-            self.requests.answered(attempt.request)
+            self.requests.take_client(attempt.request)
         } else {
             None
         };
-        let request_closed = !self.requests.waits(attempt.request);
+        let request_closed = !self.requests.is_unanswered(attempt.request);
         if let Some(BufferedResponse { buffer, message }) = response {
             if let Some(client) = client {
                 self.counters.requests_succeeded += 1;
@@ -193,10 +194,10 @@
         }
     }
 
-    /// The client has left before its request was answered.
+    /// Handles the disconnection of a client before its response was complete.
     pub fn client_left(&mut self, request: RequestId) {
         self.counters.clients_disconnected += 1;
-        if self.requests.answered(request).is_some() {
+        if self.requests.take_client(request).is_some() {
             let now = self.now();
             let steps = self.dispatcher.client_left(now, request);
             self.follow_steps(request, steps);
--- a/proxy/src/requests.rs
+++ b/proxy/src/requests.rs
@@ -1,4 +1,4 @@
-//! Requests in flight: from their admission until they are answered and their last attempt has ended.
+//! Requests in flight, from admission until they are answered and their last attempt has ended.
 
 use crate::slot_table::{DownstreamKey, UpstreamKey};
 use crankmux::types::RequestId;
@@ -9,12 +9,12 @@
 
 struct Request {
     request_id_hash: u64,
-    /// The client that waits; none once the request is answered or the client has left.
+    /// The client waiting for the response; `None` once the request is answered or the client has disconnected.
     client: Option<DownstreamKey>,
     deadline: f64,
-    /// It was admitted beyond the capacity, and gets no attempt.
+    /// Admitted beyond the capacity of the table, so no attempt is sent.
     over_capacity: bool,
-    /// The connection of each attempt; none before it is sent and once it has ended.
+    /// The connection of each attempt; `None` before it is sent and after it has ended.
     attempts: Vec<Option<UpstreamKey>>,
     attempts_in_flight: usize,
 }
@@ -23,9 +23,9 @@
 pub struct AttemptEntry {
     /// Counted from 0 within the request.
     pub number: usize,
-    /// The client whose request it carries; none where there is nothing to be sent.
+    /// The client whose request is to be sent; `None` if nothing may be sent.
     pub client: Option<DownstreamKey>,
-    /// When the request must be answered.
+    /// The deadline of the request.
     pub deadline: f64,
 }
 
@@ -33,39 +33,39 @@
 pub struct Requests {
     table: Slab<Request>,
     capacity: usize,
-    /// Hashes of the request ids that a client waits for.
-    open_ids: HashSet<u64>,
-    /// Keyed anew at each start, so that nobody outside can choose request ids that collide.
+    /// Hashes of the request ids of unanswered requests.
+    ids_in_use: HashSet<u64>,
+    /// Randomly keyed, so that clients cannot choose request ids that collide.
     id_hasher: RandomState,
 }
 
 impl Requests {
-    /// An empty table; requests beyond its capacity are admitted, but get no attempt.
+    /// Creates an empty table. Requests beyond its capacity are admitted, but no attempt is sent for them.
     pub fn new(capacity: usize) -> Self {
         Requests {
             table: Slab::new(),
             capacity,
-            open_ids: HashSet::new(),
+            ids_in_use: HashSet::new(),
             id_hasher: RandomState::new(),
         }
     }
 
-    /// Changes the capacity for requests that are admitted from now on.
+    /// Changes the capacity for later admissions.
     pub fn resize(&mut self, capacity: usize) {
         self.capacity = capacity;
     }
 
-    /// The hash by which a client's request id is known here.
+    /// Returns the hash that identifies a request id in this table.
     pub fn hash_request_id(&self, id: &str) -> u64 {
         self.id_hasher.hash_one(id)
     }
 
-    /// Whether a client waits under this request id already.
-    pub fn is_open(&self, request_id_hash: u64) -> bool {
-        self.open_ids.contains(&request_id_hash)
+    /// Whether an unanswered request has this request id.
+    pub fn is_id_in_use(&self, request_id_hash: u64) -> bool {
+        self.ids_in_use.contains(&request_id_hash)
     }
 
-    /// Admits a client's request.
+    /// Adds a client's request.
     pub fn admit(
         &mut self,
         client: DownstreamKey,
@@ -73,7 +73,7 @@
         request_id_hash: u64,
     ) -> RequestId {
         let over_capacity = self.table.len() >= self.capacity;
-        self.open_ids.insert(request_id_hash);
+        self.ids_in_use.insert(request_id_hash);
         let index = self.table.insert(Request {
             request_id_hash,
             client: Some(client),
@@ -85,21 +85,21 @@
         RequestId::new(index)
     }
 
-    /// Whether a client still waits for the response.
-    pub fn waits(&self, request: RequestId) -> bool {
+    /// Whether a client is waiting for the response.
+    pub fn is_unanswered(&self, request: RequestId) -> bool {
         self.table
             .get(request.index())
             .is_some_and(|request| request.client.is_some())
     }
 
-    /// Whether no client waits for any response.
-    pub fn none_waits(&self) -> bool {
+    /// Whether no client is waiting for a response.
+    pub fn all_answered(&self) -> bool {
         self.table
             .iter()
             .all(|(_, request)| request.client.is_none())
     }
 
-    /// Counts a new attempt in.
+    /// Adds an attempt to a request.
     pub fn start_attempt(&mut self, request: RequestId) -> AttemptEntry {
         let request = &mut self.table[request.index()];
         let number = request.attempts.len();
@@ -112,19 +112,19 @@
         }
     }
 
-    /// Notes the connection that an attempt is sent on.
+    /// Records the connection that an attempt is sent on.
     pub fn attempt_sent(&mut self, request: RequestId, attempt: usize, connection: UpstreamKey) {
         self.table[request.index()].attempts[attempt] = Some(connection);
     }
 
-    /// Moves all deadlines to a time, where they are later.
+    /// Limits all deadlines to `latest`.
     pub fn limit_deadlines(&mut self, latest: f64) {
         for (_, request) in &mut self.table {
             request.deadline = request.deadline.min(latest);
         }
     }
 
-    /// The connection that an attempt is in flight on.
+    /// Returns the connection of an attempt in flight.
     pub fn connection_of(&self, request: RequestId, attempt: usize) -> Option<UpstreamKey> {
         self.table
             .get(request.index())?
@@ -134,7 +134,7 @@
             .flatten()
     }
 
-    /// The attempt that is in flight on a connection.
+    /// Returns the attempt in flight on a connection.
     pub fn attempt_on(&self, request: RequestId, connection: UpstreamKey) -> Option<usize> {
         self.table
             .get(request.index())?
@@ -143,29 +143,29 @@
             .position(|sent_on| *sent_on == Some(connection))
     }
 
-    /// Counts an attempt out.
+    /// Records the end of an attempt.
     pub fn attempt_ended(&mut self, request: RequestId, attempt: usize) {
         let request = &mut self.table[request.index()];
         request.attempts[attempt] = None;
         request.attempts_in_flight -= 1;
     }
 
-    /// Takes the client that waits, as its response is made or it has left; from then on none waits.
-    pub fn answered(&mut self, request: RequestId) -> Option<DownstreamKey> {
+    /// Marks a request as answered, or abandoned by its client, and returns the client if one was waiting.
+    pub fn take_client(&mut self, request: RequestId) -> Option<DownstreamKey> {
         let request = self.table.get_mut(request.index())?;
         let client = request.client.take()?;
-        self.open_ids.remove(&request.request_id_hash);
+        self.ids_in_use.remove(&request.request_id_hash);
         Some(client)
     }
 
-    /// Removes a request that is answered and has no attempt in flight. This is the only place that removes one:
-    /// an index used again while an attempt is in flight would take that attempt's end for its own.
-    pub fn drop_if_done(&mut self, request: RequestId) {
-        let is_done = self
+    /// Removes a request that is answered and has no attempt in flight. If it were removed earlier, its index could be
+    /// reused, and the end of its attempt would be attributed to another request.
+    pub fn remove_if_finished(&mut self, request: RequestId) {
+        let is_finished = self
             .table
             .get(request.index())
             .is_some_and(|request| request.client.is_none() && request.attempts_in_flight == 0);
-        if is_done {
+        if is_finished {
             self.table.remove(request.index());
         }
     }
--- a/proxy/src/resource_limits.rs
+++ b/proxy/src/resource_limits.rs
@@ -1,28 +1,28 @@
-//! Limits on connections, requests, buffers and descriptors: what a process may hold, and what makes room.
+//! Limits of a process on connections, requests, buffers and file descriptors, and their enforcement.
 
 use crate::config::configuration;
 use crate::descriptors;
 use crate::proxy::Proxy;
 
-/// How many requests may be in flight. Were all client connections bound by requests, further clients would wait
-/// unaccepted, which counts as accepted for them, and time out. A quarter is left to read their requests, which
-/// get no attempt and so a quick rejection.
+/// Limit on requests in flight: three quarters of the client connections. The rest is left to accept further clients
+/// and reject their requests at once, instead of letting them time out in the accept queue.
 pub(crate) fn max_requests(max_connections: usize) -> usize {
     max_connections * 3 / 4
 }
 
 impl Proxy {
-    /// Applies this process's share of the proxy's limits, and the proxy's share of the endpoints.
+    /// Applies this process's share of the proxy's resource limits, and the proxy's share of the endpoints.
     pub fn apply_process_share(&mut self) {
         let share = self.upgrade.process_share();
-        // Each process has descriptors of its own beside those for clients and endpoints.
-        let max_connections = configuration::connection_limit(self.sockets as f64 * share);
+        // `connection_limit` also accounts for the descriptors that each process needs for itself.
+        let max_connections = configuration::connection_limit(self.descriptor_limit as f64 * share);
         self.downstream.set_capacity(max_connections);
         self.upstream.connections.set_capacity(max_connections);
         self.requests.resize(max_requests(max_connections));
         self.buffers
             .resize((self.buffer_bytes as f64 * share) as usize);
-        self.attempt_reserve = descriptors::attempt_reserve((self.sockets as f64 * share) as usize);
+        self.attempt_reserve =
+            descriptors::attempt_reserve((self.descriptor_limit as f64 * share) as usize);
         while self.upstream.connections.is_over_capacity() && self.close_longest_idle_upstream() {}
         while self.downstream.is_over_capacity() && self.close_idle_downstream() {}
         self.replenish_reserve();
--- a/proxy/src/slot_table.rs
+++ b/proxy/src/slot_table.rs
@@ -1,21 +1,21 @@
-//! Bounded tables of connections.
+//! Connection tables of bounded size.
 
 use slab::Slab;
 use std::marker::PhantomData;
 use std::ops::{Index, IndexMut};
 
-/// Names an entry of a table. Keys are small, so that they serve as event tokens, and are used again once the
-/// entry is removed.
+/// Identifies an entry of a table. Keys are small integers, so that they can be mapped to poll tokens, and are reused
+/// after their entry is removed.
 pub trait SlotKey: Copy {
-    /// The key of a slot.
+    /// Returns the key of a slot.
     fn from_slot(slot: usize) -> Self;
 
-    /// The slot of this key.
+    /// Returns the slot of this key.
     fn slot(self) -> usize;
 }
 
-/// Defines a key for the entries of one table, so that none is taken for a key of another. Its own methods are
-/// those of [`SlotKey`] again, as functions of a trait cannot be `const`, which tokens are.
+/// Defines a distinct key type for the entries of one table. Its inherent methods duplicate those of [`SlotKey`],
+/// because trait functions cannot be `const`.
 macro_rules! slot_key {
     ($(#[$documentation:meta])* $name:ident) => {
         $(#[$documentation])*
@@ -23,12 +23,12 @@
         pub struct $name(usize);
 
         impl $name {
-            /// The key of a slot.
+            /// Returns the key of a slot.
             pub const fn new(slot: usize) -> Self {
                 $name(slot)
             }
 
-            /// Its slot.
+            /// Returns the slot of this key.
             pub const fn index(self) -> usize {
                 self.0
             }
@@ -47,16 +47,16 @@
 }
 
 slot_key! {
-    /// Names a client's connection.
+    /// Identifies a client connection.
     DownstreamKey
 }
 
 slot_key! {
-    /// Names a connection to an endpoint.
+    /// Identifies a connection to an endpoint.
     UpstreamKey
 }
 
-/// A table with a capacity that may change while it is in use.
+/// A table whose capacity can change at run time.
 pub struct SlotTable<K, T> {
     entries: Slab<T>,
     keys: PhantomData<K>,
@@ -64,7 +64,7 @@
 }
 
 impl<K: SlotKey, T> SlotTable<K, T> {
-    /// An empty table.
+    /// Creates an empty table.
     pub fn new(capacity: usize) -> Self {
         SlotTable {
             entries: Slab::new(),
@@ -73,12 +73,12 @@
         }
     }
 
-    /// Changes the capacity; entries beyond it stay until they are removed.
+    /// Changes the capacity. Entries beyond it stay until they are removed.
     pub fn set_capacity(&mut self, capacity: usize) {
         self.capacity = capacity;
     }
 
-    /// Whether it has more entries than its capacity allows.
+    /// Whether the table has more entries than its capacity.
     pub fn is_over_capacity(&self) -> bool {
         self.entries.len() > self.capacity
     }
@@ -88,47 +88,47 @@
         self.entries.len()
     }
 
-    /// All entries, in the order of their keys.
+    /// All entries in order of key.
     pub fn values(&self) -> impl Iterator<Item = &T> {
         self.entries.iter().map(|(_, entry)| entry)
     }
 
-    /// Whether it has no entries.
+    /// Whether the table has no entries.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 
-    /// Whether its capacity allows no other entry.
+    /// Whether the table has reached its capacity.
     pub fn is_full(&self) -> bool {
         self.entries.len() >= self.capacity
     }
 
-    /// The key that the next entry will have.
+    /// Returns the key that the next inserted entry gets.
     pub fn vacant_key(&self) -> K {
         K::from_slot(self.entries.vacant_key())
     }
 
-    /// Adds an entry, also beyond the capacity: whoever adds one has asked [`Self::is_full`].
+    /// Inserts an entry and returns its key. Does not enforce the capacity; callers check [`Self::is_full`] first.
     pub fn insert(&mut self, entry: T) -> K {
         K::from_slot(self.entries.insert(entry))
     }
 
-    /// The entry of a key.
+    /// Returns the entry of a key.
     pub fn get(&self, key: K) -> Option<&T> {
         self.entries.get(key.slot())
     }
 
-    /// The entry of a key.
+    /// Returns the entry of a key for modification.
     pub fn get_mut(&mut self, key: K) -> Option<&mut T> {
         self.entries.get_mut(key.slot())
     }
 
-    /// Removes an entry; its key is free for another.
+    /// Removes an entry; its key may be reused.
     pub fn remove(&mut self, key: K) -> Option<T> {
         self.entries.try_remove(key.slot())
     }
 
-    /// The keys of all entries that match, in their order.
+    /// Returns the keys of all entries that match, in order.
     pub fn keys_where(&self, matches: impl Fn(&T) -> bool) -> Vec<K> {
         self.entries
             .iter()
@@ -137,7 +137,7 @@
             .collect()
     }
 
-    /// The key of the entry with the least rank, of those that have one; the first of equals.
+    /// Returns the key of the entry with the lowest rank, or the first of several. Entries without a rank are skipped.
     pub fn key_with_least(&self, rank: impl Fn(&T) -> Option<f64>) -> Option<K> {
         self.entries
             .iter()
--- a/proxy/src/streaming/response.rs
+++ b/proxy/src/streaming/response.rs
@@ -32,7 +32,7 @@
         };
         let (Some(response), Some(client)) = (
             attempt.response_state.response(),
-            self.requests.answered(request),
+            self.requests.take_client(request),
         ) else {
             return self.cancel_response_stream(key, inbox);
         };
--- a/proxy/src/timers.rs
+++ b/proxy/src/timers.rs
@@ -1,9 +1,9 @@
-//! The clock, and timers: each holds a callback that is handed the proxy once it is due.
+//! The clock, and timers with callbacks.
 
 use std::collections::BTreeMap;
 use std::time::{Instant, SystemTime, UNIX_EPOCH};
 
-/// Unix time in milliseconds that only advances, whatever is done to the system's clock.
+/// Monotonic Unix time in milliseconds, unaffected by changes of the system clock after its creation.
 pub struct Clock {
     started: Instant,
     started_unix_ms: f64,
@@ -16,9 +16,9 @@
 }
 
 impl Clock {
-    /// A clock that starts with the system's time.
+    /// Creates a clock that starts at the system time.
     pub fn new() -> Self {
-        // A system that believes to be before 1970 has no time to go by; times only need to advance then.
+        // A system clock set before 1970 starts at 0.
         let started_unix_ms = SystemTime::now()
             .duration_since(UNIX_EPOCH)
             .map_or(0.0, |since_epoch| since_epoch.as_secs_f64() * 1000.0);
@@ -28,25 +28,24 @@
         }
     }
 
-    /// The time, in Unix milliseconds.
+    /// The current time in Unix milliseconds.
     pub fn now(&self) -> f64 {
         self.started_unix_ms + self.started.elapsed().as_secs_f64() * 1000.0
     }
 }
 
-/// What is done when a timer is due.
+/// The action of a timer.
 pub type TimerCallback<P> = Box<dyn FnOnce(&mut P)>;
 
-/// Names a timer. Timers are due in the order of their times, and those of one time in the order in which they
-/// were set.
+/// Identifies a timer. Timers fire in order of time, and those due at the same time in the order they were set.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct TimerKey {
-    /// Whole microseconds: unlike floating-point times these have a total order.
+    /// Whole microseconds, which unlike floating-point numbers have a total order.
     due_us: u64,
     sequence: u64,
 }
 
-/// All timers of a proxy `P`.
+/// Pending timers whose callbacks receive a `P`.
 pub struct Timers<P> {
     callbacks: BTreeMap<TimerKey, TimerCallback<P>>,
     last_sequence: u64,
@@ -59,7 +58,7 @@
 }
 
 impl<P> Timers<P> {
-    /// No timers.
+    /// Creates an empty set of timers.
     pub fn new() -> Self {
         Timers {
             callbacks: BTreeMap::new(),
@@ -67,7 +66,7 @@
         }
     }
 
-    /// Sets a timer that is due at a time, in Unix milliseconds.
+    /// Sets a timer for a time in Unix milliseconds.
     pub fn set(&mut self, at_ms: f64, callback: impl FnOnce(&mut P) + 'static) -> TimerKey {
         self.last_sequence += 1;
         let key = TimerKey {
@@ -78,21 +77,21 @@
         key
     }
 
-    /// Cancels a timer, if there is one and it has not been due yet.
+    /// Cancels a timer, if given and still pending.
     pub fn cancel(&mut self, key: Option<TimerKey>) {
         if let Some(key) = key {
             self.callbacks.remove(&key);
         }
     }
 
-    /// Takes the first timer that is due by `now_ms`.
+    /// Removes the first timer due by `now_ms` and returns its callback.
     pub fn take_due(&mut self, now_ms: f64) -> Option<TimerCallback<P>> {
         let first = self.callbacks.first_entry()?;
         let is_due = first.key().due_us as f64 <= now_ms * 1000.0;
         is_due.then(|| first.remove())
     }
 
-    /// When the first timer is due, in Unix milliseconds.
+    /// When the next timer is due, in Unix milliseconds.
     pub fn next_due_ms(&self) -> Option<f64> {
         self.callbacks
             .first_key_value()
--- a/proxy/src/upstream/completion.rs
+++ b/proxy/src/upstream/completion.rs
@@ -4,7 +4,7 @@
 use crate::buffers::Buffer;
 use crate::proxy::Proxy;
 use crate::slot_table::UpstreamKey;
-use crate::socket::is_silent;
+use crate::socket::is_open_and_idle;
 use crankmux::types::{AttemptOutcome, LoadReport};
 
 impl Proxy {
@@ -86,7 +86,7 @@
 
     /// Keeps an idle connection for reuse, or closes it if it is not reusable or no longer open.
     pub(crate) fn keep_or_close(&mut self, key: UpstreamKey, is_reusable: bool) {
-        if is_reusable && is_silent(&self.upstream.connections[key].stream) {
+        if is_reusable && is_open_and_idle(&self.upstream.connections[key].stream) {
             self.keep_connection(key);
         } else {
             self.close_connection(key);
--- a/proxy/src/upstream/connection_pool.rs
+++ b/proxy/src/upstream/connection_pool.rs
@@ -6,7 +6,7 @@
 use crate::descriptors::{is_out_of_descriptors, DescriptorPurpose};
 use crate::proxy::Proxy;
 use crate::slot_table::{DownstreamKey, SlotTable, UpstreamKey};
-use crate::socket::is_silent;
+use crate::socket::is_open_and_idle;
 use crate::tokens::upstream_token;
 use crankmux::types::{AttemptOutcome, EndpointId, LoadReport};
 use mio::net::TcpStream;
@@ -167,7 +167,7 @@
             let key = idle.remove(idle.iter().rposition(is_past_reuse_delay)?);
             let connection = &mut self.upstream.connections[key];
             self.timers.cancel(connection.timer.take());
-            if is_silent(&connection.stream) {
+            if is_open_and_idle(&connection.stream) {
                 return Some(key);
             }
             // The endpoint has closed the connection, or sent bytes that belong to no attempt.
--- a/proxy/src/upstream/sending.rs
+++ b/proxy/src/upstream/sending.rs
@@ -7,7 +7,7 @@
 use crate::http;
 use crate::proxy::Proxy;
 use crate::slot_table::{DownstreamKey, UpstreamKey};
-use crate::socket::is_silent;
+use crate::socket::is_open_and_idle;
 use crankmux::types::{AttemptOutcome, EndpointId, LoadReport, RequestId};
 
 impl Proxy {
@@ -95,7 +95,7 @@
         match connection.state() {
             ConnectionState::Idle { .. } => {
                 // The endpoint has closed the connection, or sent bytes that belong to no attempt.
-                if !is_silent(&connection.stream) {
+                if !is_open_and_idle(&connection.stream) {
                     self.close_idle_connection(key);
                 }
                 return;
