--- a/proxy/src/downstream/eviction.rs
+++ b/proxy/src/downstream/eviction.rs
@@ -4,7 +4,7 @@
 use super::{DownstreamConnections, NEW_CLIENT_GRACE_MS};
 use crate::proxy::Proxy;
 use crate::slot_table::DownstreamKey;
-use crate::socket::is_silent;
+use crate::socket::is_open_and_idle;
 
 /// Limit on idle connections that have had a response, as a share of the table's capacity. Clients behind a shared
 /// connection limit cannot open new connections while too many are idle.
@@ -60,7 +60,7 @@
         let longest_idle_key = self.downstream.table.key_with_least(|client| {
             let may_close = client.is_idle()
                 && now_ms - client.idle_since_ms > NEW_CLIENT_GRACE_MS
-                && is_silent(&client.stream);
+                && is_open_and_idle(&client.stream);
             may_close.then_some(client.idle_since_ms)
         });
         if let Some(key) = longest_idle_key {
@@ -107,7 +107,7 @@
         idle.sort_unstable_by(|left, right| idle_since_ms(left).total_cmp(&idle_since_ms(right)));
         for key in idle.into_iter().take(excess) {
             // A request may have just arrived.
-            if is_silent(&self.downstream.table[key].stream) {
+            if is_open_and_idle(&self.downstream.table[key].stream) {
                 self.close_downstream(key);
             }
         }
--- a/proxy/src/downstream/write_response.rs
+++ b/proxy/src/downstream/write_response.rs
@@ -7,7 +7,7 @@
 use crate::metrics::access::RequestOutcome;
 use crate::proxy::Proxy;
 use crate::slot_table::{DownstreamKey, UpstreamKey};
-use crate::socket::{has_unread_data, is_silent};
+use crate::socket::{has_unread_data, is_open_and_idle};
 use std::net::Shutdown;
 
 /// How long a connection is kept open between requests: longer than active clients pause.
@@ -47,8 +47,8 @@
     /// Requests the next piece of a streamed response from its endpoint, unless the client has disconnected.
     fn request_next_response_piece(&mut self, key: DownstreamKey) {
         let client = &self.downstream.table[key];
-        let client_disconnected =
-            client.peer_closed || !(is_silent(&client.stream) || has_unread_data(&client.stream));
+        let client_disconnected = client.peer_closed
+            || !(is_open_and_idle(&client.stream) || has_unread_data(&client.stream));
         if client_disconnected {
             log::debug!("client disconnected before its response was complete");
             return self.close_downstream(key);
@@ -73,7 +73,7 @@
         client.responses_sent = client.responses_sent.saturating_add(1);
         let may_close_now = client.after_response == AfterResponse::Close
             && client.read_buffer.is_none()
-            && is_silent(&client.stream);
+            && is_open_and_idle(&client.stream);
         if may_close_now {
             self.close_downstream(key);
             return false;
