--- a/scenarios/src/tables.rs
+++ b/scenarios/src/tables.rs
@@ -84,7 +84,7 @@
         let cells = policy_cells(&scripts::shipped(name)?, arguments)?;
         kept &= cells
             .iter()
-            .all(|(policy, cell)| *policy != PolicyKind::Module || !cell.rules_broken);
+            .all(|(policy, cell)| *policy != PolicyKind::Dispatcher || !cell.rules_broken);
         print_policies(name, &cells);
     }
     Ok(Verdict::from_kept(kept))
@@ -120,9 +120,9 @@
         let found = cells.iter().find(|(policy, _)| *policy == kind);
         found.map_or(0.0, |(_, cell)| cell.service.mean)
     };
-    let module = mean(PolicyKind::Module);
+    let module = mean(PolicyKind::Dispatcher);
     let random = mean(PolicyKind::Random);
-    let omniscient = mean(PolicyKind::Omniscient);
+    let omniscient = mean(PolicyKind::Oracle);
     println!(
         "| {name} | {} | {:.2} |",
         texts.join(" | "),
@@ -190,7 +190,7 @@
     let of_script = |script| {
         (1..=arguments.seeds).map(move |seed| Run {
             script,
-            policy: PolicyKind::Module,
+            policy: PolicyKind::Dispatcher,
             seed,
         })
     };
--- a/scenarios/tests/rehearse.rs
+++ b/scenarios/tests/rehearse.rs
@@ -22,7 +22,7 @@
 fn run(script: &Script, seed: u64) -> Run<'_> {
     Run {
         script,
-        policy: PolicyKind::Module,
+        policy: PolicyKind::Dispatcher,
         seed,
     }
 }
--- a/simulator/benches/events.rs
+++ b/simulator/benches/events.rs
@@ -27,7 +27,7 @@
     let script = Script::read(TEXT).expect("a valid script");
     let mut group = criterion.benchmark_group("events");
     group.sample_size(10);
-    for kind in [PolicyKind::Random, PolicyKind::Module] {
+    for kind in [PolicyKind::Random, PolicyKind::Dispatcher] {
         let events = run(&script, kind, 1).expect("a valid policy").events;
         group.throughput(Throughput::Elements(events));
         group.bench_function(kind.name(), |bencher| {
--- a/simulator/src/policies/baseline.rs
+++ b/simulator/src/policies/baseline.rs
@@ -1,4 +1,4 @@
-//! Every policy but the decision module: simple choices, and policies that break a rule on purpose.
+//! Baseline policies: simple load balancing algorithms, an oracle, and policies that break an invariant on purpose.
 
 use super::{EndpointTruth, PolicyKind};
 use crate::random::RandomStream;
@@ -10,16 +10,16 @@
 };
 use std::collections::BTreeMap;
 
-/// The policy that loses requests loses every one of so many.
+/// [`PolicyKind::LosesRequests`] drops one request in this many.
 const LOST_REQUEST_INTERVAL: u64 = 50;
-/// Retries of a request with a key are sent only within this part of its deduplication window.
-const SAFE_WINDOW_FRACTION: f64 = 0.9;
-/// The longest Retry-After that a baseline names.
+/// A request with an idempotency key is retried only within this fraction of its deduplication window.
+const DEDUPLICATION_WINDOW_FRACTION: f64 = 0.9;
+/// Upper bound of the Retry-After that a baseline policy sends.
 const MAX_RETRY_AFTER_MS: f64 = 100.0;
-/// Round robin starts at a place below this, by the seed.
-const ROUND_ROBIN_STARTS: usize = 1000;
+/// The initial round-robin position is the seed modulo this, so that proxies do not advance in step.
+const ROUND_ROBIN_START_MODULUS: usize = 1000;
 
-/// A policy that keeps nothing but its requests and its own attempts in flight.
+/// A policy whose only state is its open requests and its own in-flight attempts.
 pub struct BaselinePolicy {
     kind: PolicyKind,
     classes: Vec<RequestClass>,
@@ -27,11 +27,11 @@
     cancellation_allowed: bool,
     retry_after_ms: f64,
     random: RandomStream,
-    /// By index; removed where nothing is known.
+    /// Indexed by endpoint; unknown endpoints have the state `Removed`.
     endpoints: Vec<EndpointUpdate>,
-    /// Attempts in flight by endpoint.
+    /// In-flight attempts per endpoint.
     in_flight: Vec<u32>,
-    round_robin_turn: usize,
+    round_robin_position: usize,
     requests: BTreeMap<RequestId, OpenRequest>,
     requests_received: u64,
 }
@@ -75,7 +75,7 @@
             random: RandomStream::named(seed, "plain chooser"),
             endpoints: Vec::new(),
             in_flight: Vec::new(),
-            round_robin_turn: seed as usize % ROUND_ROBIN_STARTS,
+            round_robin_position: seed as usize % ROUND_ROBIN_START_MODULUS,
             requests: BTreeMap::new(),
             requests_received: 0,
         }
@@ -107,8 +107,8 @@
         truth: &dyn Fn(EndpointId) -> EndpointTruth,
     ) -> NextSteps {
         self.requests_received += 1;
-        let is_lost = self.requests_received.is_multiple_of(LOST_REQUEST_INTERVAL);
-        if self.kind == PolicyKind::LosesRequests && is_lost {
+        let drop_request = self.requests_received.is_multiple_of(LOST_REQUEST_INTERVAL);
+        if self.kind == PolicyKind::LosesRequests && drop_request {
             return NextSteps::default();
         }
         let request = OpenRequest {
@@ -117,7 +117,7 @@
             attempts: Vec::new(),
         };
         self.requests.insert(arrival.request, request);
-        self.send_or_give_up(now, arrival.request, truth)
+        self.send_or_reject(now, arrival.request, truth)
     }
 
     pub(super) fn attempt_ended(
@@ -136,22 +136,22 @@
         attempt.in_flight = false;
         let in_flight = &mut self.in_flight[attempt.endpoint.index()];
         *in_flight = in_flight.saturating_sub(1);
-        let goes_on_regardless = self.kind == PolicyKind::IgnoresDepartures
+        let ignores_closed_request = self.kind == PolicyKind::IgnoresDisconnects
             && result.outcome != AttemptOutcome::Succeeded;
-        if result.request_closed && !goes_on_regardless {
+        if result.request_closed && !ignores_closed_request {
             return self.close(result.request);
         }
-        self.send_or_give_up(now, result.request, truth)
+        self.send_or_reject(now, result.request, truth)
     }
 
     pub(super) fn client_left(&mut self, request: RequestId) -> NextSteps {
-        if self.kind == PolicyKind::IgnoresDepartures {
+        if self.kind == PolicyKind::IgnoresDisconnects {
             return NextSteps::default();
         }
         self.close(request)
     }
 
-    /// Forgets a request, and cancels what is in flight of it.
+    /// Removes a request and cancels its in-flight attempts.
     fn close(&mut self, request: RequestId) -> NextSteps {
         let mut steps = NextSteps::default();
         let Some(request) = self.requests.remove(&request) else {
@@ -168,7 +168,7 @@
         steps
     }
 
-    fn send_or_give_up(
+    fn send_or_reject(
         &mut self,
         now: f64,
         request_id: RequestId,
@@ -180,7 +180,7 @@
         let candidates = self.candidates(now, request);
         let latency_limit_ms = remaining_ms.min(objective_ms);
         let Some(endpoint) = self.choose(&candidates, latency_limit_ms, truth) else {
-            return self.give_up(request_id);
+            return self.reject_or_fail(request_id);
         };
         self.in_flight[endpoint.index()] += 1;
         if let Some(request) = self.requests.get_mut(&request_id) {
@@ -200,31 +200,31 @@
         }
     }
 
-    /// Endpoints that an attempt may go to: those without an earlier attempt of the request, where there are any.
+    /// Eligible endpoints for the next attempt. Endpoints that the request has not tried yet take precedence.
     fn candidates(&self, now: f64, request: &OpenRequest) -> Vec<EndpointId> {
         if request.attempts.len() >= self.max_attempts || request.deadline - now <= 0.0 {
             return Vec::new();
         }
-        let allowed: Vec<EndpointId> = self
+        let eligible: Vec<EndpointId> = self
             .endpoints
             .iter()
-            .filter(|endpoint| self.may_send(now, request, endpoint))
+            .filter(|endpoint| self.is_eligible(now, request, endpoint))
             .map(|endpoint| endpoint.endpoint)
             .collect();
-        let untried: Vec<EndpointId> = allowed
+        let untried: Vec<EndpointId> = eligible
             .iter()
             .copied()
             .filter(|endpoint| !request.was_sent_to(*endpoint))
             .collect();
         if untried.is_empty() {
-            allowed
+            eligible
         } else {
             untried
         }
     }
 
-    /// Whether an endpoint is ready and an attempt there cannot cause a second effect.
-    fn may_send(&self, now: f64, request: &OpenRequest, endpoint: &EndpointUpdate) -> bool {
+    /// Whether an endpoint is ready and an attempt there cannot execute the request a second time.
+    fn is_eligible(&self, now: f64, request: &OpenRequest, endpoint: &EndpointUpdate) -> bool {
         if endpoint.state != EndpointState::Ready {
             return false;
         }
@@ -241,13 +241,14 @@
                 .all(|attempt| {
                     let elapsed_ms = now - attempt.started_at;
                     self.share_deduplication(class, attempt.endpoint, endpoint)
-                        && elapsed_ms < SAFE_WINDOW_FRACTION * class.deduplication_window_ms
+                        && elapsed_ms
+                            < DEDUPLICATION_WINDOW_FRACTION * class.deduplication_window_ms
                 }),
             Idempotency::NotIdempotent => !request.may_have_executed(),
         }
     }
 
-    /// Whether two endpoints drop repeats of each other's requests.
+    /// Whether two endpoints deduplicate each other's requests.
     fn share_deduplication(
         &self,
         class: &RequestClass,
@@ -261,8 +262,8 @@
         }
     }
 
-    /// Rejects a request where its client may retry it without a second effect, and fails it otherwise.
-    fn give_up(&mut self, request_id: RequestId) -> NextSteps {
+    /// Rejects a request that its client can retry without a duplicate execution, and fails any other.
+    fn reject_or_fail(&mut self, request_id: RequestId) -> NextSteps {
         let request = &self.requests[&request_id];
         let class = &self.classes[request.class.index()];
         let may_have_executed = request.may_have_executed();
@@ -295,27 +296,27 @@
         if candidates.is_empty() {
             return None;
         }
-        // Drawn for every kind, so that all use their stream alike.
-        let random = self.random_of(candidates);
+        // Drawn for every policy, so that all of them consume the random stream equally.
+        let random = self.random_candidate(candidates);
         match self.kind {
             PolicyKind::RoundRobin => {
-                self.round_robin_turn += 1;
-                Some(candidates[self.round_robin_turn % candidates.len()])
+                self.round_robin_position += 1;
+                Some(candidates[self.round_robin_position % candidates.len()])
             }
             PolicyKind::LeastOutstanding => self.least_outstanding(candidates),
             PolicyKind::TwoChoices => {
-                let other = self.random_of(candidates);
+                let other = self.random_candidate(candidates);
                 let other_is_better =
                     self.in_flight[other.index()] < self.in_flight[random.index()];
                 Some(if other_is_better { other } else { random })
             }
-            PolicyKind::Omniscient => fastest(candidates, latency_limit_ms, truth),
+            PolicyKind::Oracle => fastest(candidates, latency_limit_ms, truth),
             PolicyKind::FloodsNewest => self.newest(candidates),
             _ => Some(random),
         }
     }
 
-    fn random_of(&mut self, candidates: &[EndpointId]) -> EndpointId {
+    fn random_candidate(&mut self, candidates: &[EndpointId]) -> EndpointId {
         candidates[self.random.index_below(candidates.len())]
     }
 
@@ -329,20 +330,20 @@
             .copied()
             .filter(|endpoint| self.in_flight[endpoint.index()] == least)
             .collect();
-        Some(self.random_of(&tied))
+        Some(self.random_candidate(&tied))
     }
 
     fn newest(&self, candidates: &[EndpointId]) -> Option<EndpointId> {
         let started_at = |endpoint: EndpointId| self.endpoints[endpoint.index()].started_at_ms;
-        candidates.iter().copied().max_by(|one, other| {
-            let by_start = started_at(*one).total_cmp(&started_at(*other));
-            by_start.then(other.cmp(one))
+        candidates.iter().copied().max_by(|left, right| {
+            let by_start = started_at(*left).total_cmp(&started_at(*right));
+            by_start.then(right.cmp(left))
         })
     }
 }
 
-/// The endpoint with the lowest expected latency. None where that is over the limit: what cannot be answered in time
-/// is rejected, so that the rest can be.
+/// The endpoint with the lowest expected latency, or `None` if that exceeds the limit: requests that would be late are
+/// rejected to leave capacity for the others.
 fn fastest(
     candidates: &[EndpointId],
     latency_limit_ms: f64,
@@ -351,6 +352,6 @@
     let expected = candidates
         .iter()
         .filter_map(|endpoint| Some((truth(*endpoint).expected_latency_ms?, *endpoint)));
-    let (latency_ms, endpoint) = expected.min_by(|one, other| one.0.total_cmp(&other.0))?;
+    let (latency_ms, endpoint) = expected.min_by(|left, right| left.0.total_cmp(&right.0))?;
     (latency_ms < latency_limit_ms).then_some(endpoint)
 }
--- a/simulator/src/policies/mod.rs
+++ b/simulator/src/policies/mod.rs
@@ -1,5 +1,5 @@
-//! Load balancing policies: the decision module, baselines that know what a proxy knows, one that sees the true
-//! state, and policies that break a rule on purpose, to test the invariant checker.
+//! Load balancing policies: crankmux's own dispatcher, baselines with the information of a real proxy, an oracle that
+//! reads the simulator's state, and policies that break an invariant on purpose, to test the invariant checker.
 
 mod baseline;
 
@@ -10,119 +10,119 @@
 use crankmux::types::{AttemptResult, EndpointId, EndpointUpdate, NewRequest, RequestId};
 use thiserror::Error;
 
-/// The kinds of policies.
+/// The available policies.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum PolicyKind {
-    /// The decision module.
-    Module,
-    /// Any endpoint.
+    /// The dispatcher of crankmux.
+    Dispatcher,
+    /// A random endpoint.
     Random,
-    /// One endpoint after the other.
+    /// Each endpoint in turn.
     RoundRobin,
-    /// The endpoint with the fewest attempts of this proxy in flight.
+    /// The endpoint with the fewest in-flight attempts of this proxy.
     LeastOutstanding,
-    /// The better of two random endpoints.
+    /// The less loaded of two random endpoints.
     TwoChoices,
-    /// Sees the true state of every endpoint, with the load of all proxies.
-    Omniscient,
-    /// Breaks a rule: loses one request in fifty.
+    /// The endpoint with the lowest expected latency, by the simulator's state under the load of all proxies.
+    Oracle,
+    /// Breaks an invariant: drops one request in fifty.
     LosesRequests,
-    /// Breaks a rule: retries whatever failed.
+    /// Breaks an invariant: retries requests that are not safe to retry.
     RetriesUnsafely,
-    /// Breaks a rule: sends to every endpoint that was ever listed.
+    /// Breaks an invariant: keeps sending to draining and removed endpoints.
     IgnoresDrains,
-    /// Breaks a rule: sends all to the endpoint that started last.
+    /// Breaks an invariant: sends all requests to the endpoint that started last.
     FloodsNewest,
-    /// Breaks a rule: goes on for clients that have left.
-    IgnoresDepartures,
+    /// Breaks an invariant: keeps sending attempts after the client disconnected.
+    IgnoresDisconnects,
 }
 
 impl PolicyKind {
-    /// Those that keep the rules, in the order of the tables.
+    /// All but those that break an invariant on purpose, in the column order of the tables.
     pub const ALL: [PolicyKind; 6] = [
-        PolicyKind::Module,
+        PolicyKind::Dispatcher,
         PolicyKind::Random,
         PolicyKind::RoundRobin,
         PolicyKind::LeastOutstanding,
         PolicyKind::TwoChoices,
-        PolicyKind::Omniscient,
+        PolicyKind::Oracle,
     ];
 
-    /// Its name on the command line and in reports.
+    /// Name on the command line and in reports.
     pub fn name(self) -> &'static str {
         match self {
-            PolicyKind::Module => "module",
+            PolicyKind::Dispatcher => "module",
             PolicyKind::Random => "random",
             PolicyKind::RoundRobin => "round-robin",
             PolicyKind::LeastOutstanding => "least-outstanding",
             PolicyKind::TwoChoices => "two-choices",
-            PolicyKind::Omniscient => "top",
+            PolicyKind::Oracle => "top",
             PolicyKind::LosesRequests => "loses",
             PolicyKind::RetriesUnsafely => "repeats",
             PolicyKind::IgnoresDrains => "past-drains",
             PolicyKind::FloodsNewest => "floods",
-            PolicyKind::IgnoresDepartures => "sends-on",
+            PolicyKind::IgnoresDisconnects => "sends-on",
         }
     }
 
-    /// The kind of this name, of those that keep the rules.
+    /// Looks up a policy of [`PolicyKind::ALL`] by name.
     pub fn from_name(name: &str) -> Option<Self> {
         PolicyKind::ALL.into_iter().find(|kind| kind.name() == name)
     }
 }
 
-/// Why a policy cannot be made.
+/// Errors of [`Policy::new`].
 #[derive(Clone, Debug, PartialEq, Error)]
 pub enum PolicyError {
-    /// The decision module refuses the settings that the script gives it.
+    /// The settings derived from the script are invalid.
     #[error(transparent)]
     InvalidSettings(#[from] SettingsError),
 }
 
-/// The true state of an endpoint.
+/// The state of an endpoint in the simulator, as only [`PolicyKind::Oracle`] sees it.
 pub struct EndpointTruth {
-    /// The latency that a request of mean work would have now; none where it cannot be answered.
+    /// Latency that a request of mean work would have now; `None` if the endpoint cannot answer it.
     pub expected_latency_ms: Option<f64>,
 }
 
-/// What a policy wants of its proxy.
+/// What a policy asks its proxy to do next.
 pub struct PolicyNeeds {
-    /// When it is to be called next.
+    /// When to call [`Policy::tick`] next.
     pub next_tick: Option<f64>,
-    /// Whether it asks for the full endpoint list.
+    /// Whether to fetch the full endpoint list.
     pub endpoint_list: bool,
 }
 
 /// The policy of one proxy.
 pub enum Policy {
-    /// The decision module.
-    Module(Box<Dispatcher>),
-    /// Any other.
+    /// [`PolicyKind::Dispatcher`].
+    Dispatcher(Box<Dispatcher>),
+    /// Any other policy.
     Baseline(Box<BaselinePolicy>),
 }
 
 impl Policy {
-    /// A policy for one proxy of a script.
+    /// Creates the policy of one proxy of a script.
     ///
     /// # Errors
     ///
-    /// Settings that the decision module refuses.
+    /// The settings derived from the script are invalid.
     pub fn new(
         kind: PolicyKind,
         script: &Script,
         proxy: usize,
         seed: u64,
     ) -> Result<Self, PolicyError> {
-        if kind != PolicyKind::Module {
+        if kind != PolicyKind::Dispatcher {
             let baseline = BaselinePolicy::new(kind, script, seed);
             return Ok(Policy::Baseline(Box::new(baseline)));
         }
         let (_, settings) = NameIndex::from_settings(&script.settings(proxy));
         let dispatcher = Dispatcher::new(settings?, seed);
-        Ok(Policy::Module(Box::new(dispatcher)))
+        Ok(Policy::Dispatcher(Box::new(dispatcher)))
     }
 
-    /// A request has arrived at the proxy.
+    /// Handles a new request.
     pub fn request_arrived(
         &mut self,
         now: f64,
@@ -130,12 +130,12 @@
         truth: &dyn Fn(EndpointId) -> EndpointTruth,
     ) -> NextSteps {
         match self {
-            Policy::Module(dispatcher) => dispatcher.request_arrived(now, request),
+            Policy::Dispatcher(dispatcher) => dispatcher.request_arrived(now, request),
             Policy::Baseline(baseline) => baseline.request_arrived(now, request, truth),
         }
     }
 
-    /// An attempt has ended.
+    /// Handles the result of an attempt.
     pub fn attempt_ended(
         &mut self,
         now: f64,
@@ -143,20 +143,20 @@
         truth: &dyn Fn(EndpointId) -> EndpointTruth,
     ) -> NextSteps {
         match self {
-            Policy::Module(dispatcher) => dispatcher.attempt_ended(now, result),
+            Policy::Dispatcher(dispatcher) => dispatcher.attempt_ended(now, result),
             Policy::Baseline(baseline) => baseline.attempt_ended(now, result, truth),
         }
     }
 
-    /// The client of a request has left.
+    /// Handles the disconnect of a request's client.
     pub fn client_left(&mut self, now: f64, request: RequestId) -> NextSteps {
         match self {
-            Policy::Module(dispatcher) => dispatcher.client_left(now, request),
+            Policy::Dispatcher(dispatcher) => dispatcher.client_left(now, request),
             Policy::Baseline(baseline) => baseline.client_left(request),
         }
     }
 
-    /// The endpoint list, in full or what changed of it; cached where it dates from before a restart.
+    /// Applies the full endpoint list or a change of it. A cached list was stored before a restart.
     pub fn update_endpoints(
         &mut self,
         now: f64,
@@ -165,25 +165,25 @@
         cached: bool,
     ) {
         match self {
-            Policy::Module(dispatcher) => {
+            Policy::Dispatcher(dispatcher) => {
                 dispatcher.update_endpoints(now, updates, full_list, cached);
             }
             Policy::Baseline(baseline) => baseline.update_endpoints(updates, full_list),
         }
     }
 
-    /// The time that it wanted to be called at has come.
+    /// Runs the work due at [`PolicyNeeds::next_tick`].
     pub fn tick(&mut self, now: f64) -> Vec<(RequestId, NextSteps)> {
         match self {
-            Policy::Module(dispatcher) => dispatcher.tick(now, now),
+            Policy::Dispatcher(dispatcher) => dispatcher.tick(now, now),
             Policy::Baseline(_) => Vec::new(),
         }
     }
 
-    /// What it wants of its proxy. It asks for the endpoint list once.
+    /// Takes what the policy asks of its proxy. It asks for the endpoint list once.
     pub fn take_needs(&mut self) -> PolicyNeeds {
         match self {
-            Policy::Module(dispatcher) => PolicyNeeds {
+            Policy::Dispatcher(dispatcher) => PolicyNeeds {
                 endpoint_list: dispatcher.take_list_request(),
                 next_tick: dispatcher.next_tick(),
             },
--- a/simulator/tests/environment.rs
+++ b/simulator/tests/environment.rs
@@ -26,7 +26,7 @@
 #[test]
 fn policies_that_keep_the_rules_cause_no_violations() {
     for kind in [
-        PolicyKind::Module,
+        PolicyKind::Dispatcher,
         PolicyKind::Random,
         PolicyKind::LeastOutstanding,
     ] {
@@ -40,7 +40,10 @@
         );
     }
     assert_eq!(
-        violations(PolicyKind::Module, &format!("{RELEASE}{RESPONSES_LOST}")),
+        violations(
+            PolicyKind::Dispatcher,
+            &format!("{RELEASE}{RESPONSES_LOST}")
+        ),
         [0; 5]
     );
 }
@@ -110,17 +113,17 @@
     let script = Script::read(&script).unwrap_or_else(|error| panic!("{error}"));
     let departures = |kind| run(&script, kind, 5).expect("a valid policy").violations[4];
     assert!(
-        departures(PolicyKind::IgnoresDepartures) > 20,
+        departures(PolicyKind::IgnoresDisconnects) > 20,
         "{}",
-        departures(PolicyKind::IgnoresDepartures)
+        departures(PolicyKind::IgnoresDisconnects)
     );
-    assert_eq!(departures(PolicyKind::Module), 0);
+    assert_eq!(departures(PolicyKind::Dispatcher), 0);
 }
 
 #[test]
 fn an_added_fault_does_not_change_the_arrivals() {
     let calls = |more: &str| {
-        let results = run(&script(more), PolicyKind::Module, 3).expect("a valid policy");
+        let results = run(&script(more), PolicyKind::Dispatcher, 3).expect("a valid policy");
         results
             .seconds
             .iter()
@@ -136,7 +139,7 @@
 #[test]
 fn the_same_seed_gives_the_same_bytes_and_another_seed_does_not() {
     let bytes = |seed| {
-        serde_json::to_vec(&run(&script(RESPONSES_LOST), PolicyKind::Module, seed).unwrap())
+        serde_json::to_vec(&run(&script(RESPONSES_LOST), PolicyKind::Dispatcher, seed).unwrap())
             .unwrap()
     };
     assert!(bytes(3) == bytes(3));
@@ -179,8 +182,8 @@
         let results = run(&script(partition), kind, 5).expect("a valid policy");
         results.service
     };
-    let omniscient = service(PolicyKind::Omniscient);
-    let module = service(PolicyKind::Module);
+    let omniscient = service(PolicyKind::Oracle);
+    let module = service(PolicyKind::Dispatcher);
     let random = service(PolicyKind::Random);
     assert!(
         omniscient >= module && module > random + 3.0,
