--- a/simulator/src/results/collector.rs
+++ b/simulator/src/results/collector.rs
@@ -1,4 +1,4 @@
-//! Collects results while a run goes on.
+//! Accumulates the results of a run.
 
 use super::{
     ClassResults, Counts, LatencyPercentiles, Outcome, RunResults, SecondResults, WorstSecond,
@@ -7,28 +7,28 @@
 use crate::script::{RequestClass, Script};
 use hdrhistogram::Histogram;
 
-/// The longest latency that is measured exactly: ten minutes.
-const MAX_LATENCY_US: u64 = 600_000_000;
-/// Significant digits of a latency.
-const LATENCY_DIGITS: u8 = 2;
-/// A second with fewer calls is never the worst one.
+/// Upper bound of the latency histograms; longer latencies are recorded as this.
+const MAX_LATENCY_US: u64 = 10 * 60 * 1_000_000;
+/// Precision of the latency histograms.
+const LATENCY_SIGNIFICANT_DIGITS: u8 = 2;
+/// Seconds with fewer calls are not candidates for the worst second.
 const MIN_CALLS_OF_WORST_SECOND: u64 = 10;
 
 fn latency_histogram() -> Histogram<u32> {
-    Histogram::new_with_bounds(1, MAX_LATENCY_US, LATENCY_DIGITS).expect("valid bounds")
+    Histogram::new_with_bounds(1, MAX_LATENCY_US, LATENCY_SIGNIFICANT_DIGITS).expect("valid bounds")
 }
 
 fn quantile_ms(histogram: &Histogram<u32>, quantile: f64) -> f64 {
     histogram.value_at_quantile(quantile) as f64 / 1000.0
 }
 
-/// What a call of a class is worth.
+/// What an answered call of a class adds to the earned weight.
 struct ClassWeight {
     in_time: f64,
     late_fraction: f64,
 }
 
-/// Counts of one second.
+/// Results of one second, still accumulating.
 struct SecondCounts {
     counts: Counts,
     requests: u64,
@@ -59,7 +59,7 @@
     }
 }
 
-/// Counts as a run goes on. Times are since its start.
+/// Accumulates the results of a run. Times are milliseconds since its start.
 pub struct ResultsCollector {
     settling_ms: f64,
     totals: Counts,
@@ -70,14 +70,14 @@
     attempts_by_endpoint: Vec<u64>,
     requests: u64,
     attempts: u64,
-    /// How often a cold endpoint was overloaded.
+    /// Number of times a cold endpoint was overloaded.
     pub endpoints_overloaded: u64,
-    /// How often an endpoint was degraded by a long wait.
+    /// Number of times an endpoint became degraded after a long queue wait.
     pub endpoints_degraded: u64,
 }
 
 impl ResultsCollector {
-    /// A collector that has counted nothing.
+    /// Creates an empty collector.
     pub fn new(script: &Script) -> Self {
         let no_calls = |class: &RequestClass| ClassResults {
             name: class.name.clone(),
@@ -107,7 +107,7 @@
         self.seconds.get_mut((at_ms / 1000.0).max(0.0) as usize)
     }
 
-    /// A call that arrived at a time is over.
+    /// Records the outcome of a call. It counts towards the second in which the call arrived.
     pub fn call_closed(
         &mut self,
         arrived_ms: f64,
@@ -138,7 +138,7 @@
         }
     }
 
-    /// A client sends a request.
+    /// Counts a request that a client sent.
     pub fn request_sent(&mut self, at_ms: f64) {
         self.requests += 1;
         if let Some(second) = self.second(at_ms) {
@@ -146,7 +146,7 @@
         }
     }
 
-    /// A proxy sends an attempt.
+    /// Counts an attempt that a proxy sent.
     pub fn attempt_sent(&mut self, at_ms: f64, endpoint: usize) {
         self.attempts += 1;
         if self.attempts_by_endpoint.len() <= endpoint {
@@ -158,7 +158,7 @@
         }
     }
 
-    /// The results of the run.
+    /// Computes the results of the run.
     pub fn finish(
         mut self,
         script: &Script,
@@ -211,15 +211,16 @@
 }
 
 fn worst_second(seconds: &[SecondResults], first: usize) -> WorstSecond {
-    let counted = seconds.iter().filter(|second| {
+    let candidates = seconds.iter().filter(|second| {
         second.second >= first && second.counts.calls >= MIN_CALLS_OF_WORST_SECOND
     });
-    let worst = counted.min_by(|one, other| one.counts.service.total_cmp(&other.counts.service));
+    let worst =
+        candidates.min_by(|left, right| left.counts.service.total_cmp(&right.counts.service));
     let (second, service) = worst.map_or((0, 100.0), |worst| (worst.second, worst.counts.service));
     WorstSecond { second, service }
 }
 
-/// A rule, how it was broken, and the history of the request indented below.
+/// Formats a violation, followed by the history of its request.
 fn violation_report(violation: &Violation) -> String {
     let history: String = violation
         .history
--- a/simulator/src/results/mod.rs
+++ b/simulator/src/results/mod.rs
@@ -1,6 +1,6 @@
-//! What a run came to: service by second and by request class, latency, attempts by endpoint, rules kept or broken.
+//! Results of a run: service per second and per request class, latency, attempts per endpoint, and violations.
 //!
-//! The types are written as figures.json, whose keys `serde(rename)` keeps.
+//! The types are serialized to figures.json; `serde(rename)` keeps its keys stable.
 
 mod collector;
 
@@ -9,41 +9,41 @@
 
 pub use collector::ResultsCollector;
 
-/// What became of one call of a client, all its requests together.
+/// Outcome of a client's call, over the first request and all retries.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
     /// Answered within the latency objective.
     InTime,
-    /// Answered later.
+    /// Answered after the latency objective.
     Late,
-    /// Rejected, and the client retried no more.
+    /// Rejected, with no retry left.
     Rejected,
-    /// Failed, or not answered at all.
+    /// Failed or unanswered.
     Failed,
 }
 
-/// Counts of calls and of what became of them.
+/// Calls by outcome.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct Counts {
     /// All calls.
     #[serde(rename = "wanted")]
     pub calls: u64,
-    /// Calls answered in time.
+    /// Calls answered within the latency objective.
     pub in_time: u64,
-    /// Calls answered late.
+    /// Calls answered after it.
     pub late: u64,
-    /// Calls rejected.
+    /// Rejected calls.
     #[serde(rename = "refused")]
     pub rejected: u64,
-    /// Calls failed.
+    /// Failed calls.
     pub failed: u64,
-    /// Sum of the weights that were earned.
+    /// Sum of the priority weights of the answered calls; late ones count in part.
     #[serde(rename = "worth")]
     pub earned_weight: f64,
-    /// Sum of the weights that all calls in time would have earned.
+    /// Sum of the priority weights of all calls.
     #[serde(rename = "most_worth")]
     pub possible_weight: f64,
-    /// Earned of possible weight, in percent.
+    /// Earned weight as a percentage of the possible weight.
     pub service: f64,
 }
 
@@ -74,38 +74,38 @@
     }
 }
 
-/// One second of a run.
+/// Results of one second of a run.
 #[derive(Clone, Debug, Serialize)]
 pub struct SecondResults {
-    /// Its number, from 0.
+    /// Index of the second, from 0.
     #[serde(rename = "at")]
     pub second: usize,
-    /// The calls that arrived in it.
+    /// Calls that arrived in this second.
     #[serde(flatten)]
     pub counts: Counts,
-    /// Requests that all clients sent in it.
+    /// Requests sent by all clients.
     #[serde(rename = "tries")]
     pub requests: u64,
-    /// Attempts that all proxies sent in it.
+    /// Attempts sent by all proxies.
     #[serde(rename = "pushes")]
     pub attempts: u64,
-    /// Median latency of its calls.
+    /// Median latency of the calls.
     pub p50_ms: f64,
-    /// 99th percentile of the latency of its calls.
+    /// 99th percentile of the latency of the calls.
     pub p99_ms: f64,
 }
 
-/// One request class over a run.
+/// Results of one request class.
 #[derive(Clone, Debug, Serialize)]
 pub struct ClassResults {
-    /// Its name.
+    /// Name of the class.
     pub name: String,
-    /// Its calls.
+    /// Calls of the class.
     #[serde(flatten)]
     pub counts: Counts,
 }
 
-/// Percentiles of the time from a client's first request to its answer, in milliseconds.
+/// Percentiles of the latency of calls, from the first request to the answer, in milliseconds.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct LatencyPercentiles {
     /// Median.
@@ -118,7 +118,7 @@
     pub p999: f64,
     /// 99.99th percentile.
     pub p9999: f64,
-    /// The highest.
+    /// Maximum.
     #[serde(rename = "most")]
     pub max: f64,
 }
@@ -127,9 +127,9 @@
 #[derive(Clone, Copy, Debug, Serialize)]
 #[serde(into = "(usize, f64)")]
 pub struct WorstSecond {
-    /// Its number, from 0.
+    /// Index of the second, from 0.
     pub second: usize,
-    /// Its service in percent.
+    /// Service in percent.
     pub service: f64,
 }
 
@@ -142,51 +142,51 @@
 /// The results of one run.
 #[derive(Clone, Debug, Serialize)]
 pub struct RunResults {
-    /// The script's name.
+    /// Name of the script.
     pub script: String,
-    /// The policy's name.
+    /// Name of the policy.
     #[serde(rename = "chooser")]
     pub policy: String,
-    /// The seed.
+    /// Seed of the run.
     pub seed: u64,
-    /// Earned of possible weight after the settling time, in percent.
+    /// Earned weight as a percentage of the possible weight, after the settling time.
     pub service: f64,
     /// All calls after the settling time.
     #[serde(rename = "all")]
     pub totals: Counts,
-    /// The same by request class.
+    /// Calls after the settling time, per request class.
     #[serde(rename = "categories")]
     pub classes: Vec<ClassResults>,
-    /// Latency after the settling time.
+    /// Latency of the calls after the settling time.
     pub latency_ms: LatencyPercentiles,
-    /// Requests that clients sent.
+    /// Requests sent by all clients.
     #[serde(rename = "tries")]
     pub requests: u64,
-    /// Attempts that proxies sent.
+    /// Attempts sent by all proxies.
     #[serde(rename = "pushes")]
     pub attempts: u64,
-    /// The worst of the seconds with enough calls.
+    /// The second with the lowest service, among those with enough calls.
     pub worst_second: WorstSecond,
-    /// Violations of each rule, in the order of [`crate::invariants::Rule`].
+    /// Number of violations of each rule, in the order of [`crate::invariants::Rule`].
     #[serde(rename = "broken")]
     pub violations: [u64; RULES],
-    /// How often a cold endpoint was overloaded.
+    /// Number of times a cold endpoint was overloaded.
     #[serde(rename = "fell_over")]
     pub endpoints_overloaded: u64,
-    /// How often an endpoint was degraded by a long wait.
+    /// Number of times an endpoint became degraded after a long queue wait.
     #[serde(rename = "tipped")]
     pub endpoints_degraded: u64,
-    /// Events that the run handled.
+    /// Events processed by the simulation.
     pub events: u64,
-    /// Second by second.
+    /// Results per second.
     pub seconds: Vec<SecondResults>,
-    /// Attempts by endpoint.
+    /// Attempts per endpoint.
     #[serde(rename = "pushes_by_server")]
     pub attempts_by_endpoint: Vec<u64>,
-    /// Requests that were still held at the end, long after their deadline: an attempt of theirs was never settled.
+    /// Requests still open at the end of the run, long after their deadline, because an attempt never ended.
     #[serde(skip)]
     pub overdue_requests: usize,
-    /// The first violations, each with the history of its request.
+    /// Descriptions of the first violations, each with the history of its request.
     #[serde(skip)]
     pub violation_reports: Vec<String>,
 }
