--- a/simulator/src/script/defaults.rs
+++ b/simulator/src/script/defaults.rs
@@ -1,4 +1,4 @@
-//! Values of the keys that a script leaves out.
+//! Default values of optional keys.
 
 use super::types::{Backoff, Clients, DeduplicationScope, Discovery, Limits, LoadReports, Network};
 
--- a/simulator/src/script/fault.rs
+++ b/simulator/src/script/fault.rs
@@ -1,79 +1,79 @@
-//! The faults of a script: what can go wrong, when, and whom it strikes.
+//! Fault injection: the kinds of faults, and when and where they apply.
 
 use super::defaults;
 use serde::Deserialize;
 
-/// What can go wrong. The meaning of `strength` is beside each.
+/// Kinds of faults. The unit and meaning of `strength` depend on the kind.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "kebab-case")]
 pub enum FaultKind {
-    /// Work takes so many times as long.
+    /// Work takes `strength` times as long.
     Slow,
-    /// Endpoints take requests and execute none until it is over.
+    /// Endpoints accept requests but execute none while the fault lasts.
     Hang,
-    /// Endpoints pause for so many milliseconds, about every second.
+    /// Endpoints pause for `strength` milliseconds about once a second.
     Pauses,
-    /// Endpoints answer with an error at once, with this probability.
+    /// Endpoints answer with an immediate error, with probability `strength`.
     FailFast,
-    /// The machine neither receives nor sends.
+    /// Endpoints neither receive nor send anything.
     #[serde(rename = "silent")]
     Unresponsive,
-    /// A response is lost on its way, with this probability.
+    /// Responses are lost in the network, with probability `strength`.
     #[serde(rename = "answers-lost")]
     ResponsesLost,
-    /// A connection is reset under its request, with this probability.
+    /// Connections are reset during a request, with probability `strength`.
     #[serde(rename = "resets")]
     ConnectionResets,
-    /// The zone's endpoints and proxies reach no other zone's, both ways.
+    /// The zone is partitioned from all other zones, in both directions.
     #[serde(rename = "zone-cut")]
     ZonePartition,
-    /// Responses of the zone's endpoints to other zones are lost; requests to them arrive.
+    /// Responses of the zone's endpoints to other zones are lost, while requests from there arrive.
     #[serde(rename = "one-way-cut")]
     OneWayPartition,
-    /// Endpoints are replaced by cold ones, evenly over the time.
+    /// Endpoints are replaced by cold ones, at an even rate over the duration.
     Release,
-    /// Endpoints die and restart cold after so many seconds.
+    /// Endpoints crash and restart cold after `strength` seconds.
     #[serde(rename = "kill-servers")]
     KillEndpoints,
-    /// Proxies die at once and restart after so many seconds, with no state.
+    /// Proxies crash simultaneously and restart without state after `strength` seconds.
     #[serde(rename = "kill-nodes")]
     KillProxies,
-    /// Discovery notifies nobody until it is over.
+    /// Discovery sends no notifications while the fault lasts.
     DiscoveryDown,
-    /// Load reports are so many seconds older.
+    /// Load reports are older by `strength` seconds.
     #[serde(rename = "reports-late")]
     LoadReportsLate,
-    /// Load reports are so many times the true load.
+    /// Load reports are `strength` times the actual load.
     #[serde(rename = "reports-wrong")]
     LoadReportsWrong,
     /// Answers carry no load reports.
     #[serde(rename = "reports-missing")]
     LoadReportsMissing,
-    /// Start times of endpoints, as discovery gives them, are so many seconds off.
+    /// Endpoint start times from discovery are off by `strength` seconds.
     ClockStep,
 }
 
-/// One fault: what, when, how strong, and which endpoints or proxies it strikes.
+/// A fault, its timing, and the endpoints or proxies it applies to.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Fault {
-    /// What goes wrong.
+    /// Kind of the fault.
     pub kind: FaultKind,
-    /// When it begins.
+    /// Start of the fault.
     #[serde(rename = "at")]
     pub start_s: f64,
-    /// How long it lasts.
+    /// Duration of the fault.
     #[serde(rename = "for")]
     pub duration_s: f64,
-    /// See [`FaultKind`].
+    /// Depends on the kind; see [`FaultKind`].
     #[serde(default = "defaults::one")]
     pub strength: f64,
-    /// Strikes only this zone.
+    /// Restricts the fault to this zone.
     pub zone: Option<String>,
-    /// Strikes only endpoints of this machine type.
+    /// Restricts the fault to endpoints of this machine type.
     #[serde(rename = "machine")]
     pub machine_type: Option<String>,
-    /// Fraction of those that it strikes.
+    /// Fraction of the matching endpoints or proxies that is affected.
     #[serde(default = "defaults::one", rename = "part")]
     pub fraction: f64,
 }
--- a/simulator/src/script/mod.rs
+++ b/simulator/src/script/mod.rs
@@ -1,7 +1,7 @@
-//! Scripts: a TOML file that describes one environment and what goes wrong in it. docs/scripts.md lists the keys.
+//! Scripts: TOML files that describe an environment and the faults injected into it. docs/scripts.md lists the keys.
 //!
-//! The keys are those that operators type; the fields have their own names. A script with an unknown key, a wrong
-//! word or a value out of its range is refused in full, by an error that names line and key.
+//! Field names can differ from the keys of the file. Unknown keys and invalid values are errors that name the line and,
+//! for values, the key.
 
 mod defaults;
 mod fault;
@@ -18,16 +18,16 @@
 };
 
 impl Script {
-    /// Reads a script and validates it.
+    /// Parses and validates a script.
     ///
     /// # Errors
     ///
-    /// The first key that is unknown, missing or out of its range, with its line.
+    /// The first unknown, missing or invalid key, with its line.
     pub fn read(text: &str) -> Result<Self, ScriptError> {
         read_validated(text, Script::validate)
     }
 
-    /// Mean work of a request on a core of speed one, over all classes by their weight among the arrivals.
+    /// Mean work per request on a core of speed 1, weighted by the arrivals of each class.
     pub fn mean_work_ms(&self) -> f64 {
         let classes = &self.request_classes;
         let weights: f64 = classes.iter().map(|class| class.arrival_weight).sum();
@@ -38,7 +38,7 @@
         work / weights.max(1e-9)
     }
 
-    /// Requests a second that all endpoints can do when warm.
+    /// Requests per second that all endpoints can serve when warm.
     pub fn capacity(&self) -> f64 {
         let speed: f64 = self
             .machine_types
@@ -48,7 +48,7 @@
         1000.0 * speed / self.mean_work_ms()
     }
 
-    /// Calls a second that clients start, before waves and bursts.
+    /// Calls per second from all clients, before waves and bursts.
     pub fn rate(&self) -> f64 {
         self.load
             .rate
--- a/simulator/src/script/proxy_settings.rs
+++ b/simulator/src/script/proxy_settings.rs
@@ -1,12 +1,12 @@
-//! The settings that a proxy of the environment is given, in the platform's form (docs/architecture.md).
+//! Generates the settings of the environment's proxies, in the platform's format (docs/architecture.md).
 
 use super::types::{DeduplicationScope, Idempotency, RequestClass, Script};
 use serde_json::{json, Value};
 
-/// How long a proxy may take to ask for the endpoint list, as its settings have it.
+/// Time within which a proxy must request the endpoint list.
 const ASK_WITHIN_MS: f64 = 10_000.0;
 
-fn effect(idempotency: Idempotency) -> &'static str {
+fn effect_name(idempotency: Idempotency) -> &'static str {
     match idempotency {
         Idempotency::Idempotent => "read_like",
         Idempotency::IdempotentWithKey => "idempotency_key",
@@ -14,7 +14,7 @@
     }
 }
 
-fn group(scope: DeduplicationScope) -> &'static str {
+fn group_name(scope: DeduplicationScope) -> &'static str {
     match scope {
         DeduplicationScope::Fleet => "all",
         DeduplicationScope::Zone => "zone",
@@ -22,11 +22,11 @@
     }
 }
 
-fn category(class: &RequestClass) -> Value {
+fn category_settings(class: &RequestClass) -> Value {
     json!({
         "Name": class.name,
-        "Effect": effect(class.idempotency),
-        "Group": group(class.deduplication_scope),
+        "Effect": effect_name(class.idempotency),
+        "Group": group_name(class.deduplication_scope),
         "WindowMs": class.deduplication_window_ms,
         "TargetLatencyMs": class.latency_objective_ms,
         "TtlMs": class.ttl_ms,
@@ -36,9 +36,9 @@
 }
 
 impl Script {
-    /// The settings of one proxy, in the platform's form.
+    /// The settings of one proxy, in the platform's format.
     pub fn settings(&self, proxy: usize) -> Value {
-        let categories: Vec<Value> = self.request_classes.iter().map(category).collect();
+        let categories: Vec<Value> = self.request_classes.iter().map(category_settings).collect();
         let reporting = if self.load_reports.enabled {
             "piggyback"
         } else {
@@ -51,14 +51,14 @@
             "Zones": self.zones,
             "Discovery": "automatic",
             "Categories": categories,
-            "Limits": self.proxy_limits(),
+            "Limits": self.limits_section(),
             "Fees": { "CrossZone": self.limits.cross_zone_cost },
             "Reporting": { "Via": reporting },
-            "Obligations": self.proxy_obligations(),
+            "Obligations": self.obligations_section(),
         })
     }
 
-    fn proxy_limits(&self) -> Value {
+    fn limits_section(&self) -> Value {
         json!({
             "MostPushes": self.limits.max_attempts,
             "MayCancel": self.limits.cancellation_allowed,
@@ -70,7 +70,7 @@
         })
     }
 
-    fn proxy_obligations(&self) -> Value {
+    fn obligations_section(&self) -> Value {
         json!({
             "ColdShare": self.limits.cold_capacity_fraction,
             "ColdMs": 1000.0 * self.limits.slow_start_s,
--- a/simulator/src/script/reader.rs
+++ b/simulator/src/script/reader.rs
@@ -1,39 +1,39 @@
-//! Reads a TOML text into a type and validates it; errors name line and key.
+//! Deserializes and validates TOML; errors name the line and, for invalid values, the key.
 
 use serde::de::DeserializeOwned;
 use thiserror::Error;
 use toml::de::{DeTable, DeValue};
 
-/// Why a script is refused. Lines count from 1.
+/// Errors of reading a script. Line numbers start at 1.
 #[derive(Clone, Debug, PartialEq, Error)]
 pub enum ScriptError {
-    /// The text is no TOML, or a key is unknown, missing or of the wrong type.
+    /// Invalid TOML, or a key that is unknown, missing or of the wrong type.
     #[error("line {line}: {message}")]
     Malformed {
-        /// Where.
+        /// Line of the error.
         line: usize,
-        /// What the parser says.
+        /// Message of the parser.
         message: String,
     },
-    /// A value breaks a rule of the script.
+    /// A value fails validation.
     #[error("line {line}: {invalid}")]
     Invalid {
-        /// Where.
+        /// Line of the error.
         line: usize,
-        /// Which key, and why.
+        /// The key and the reason.
         invalid: InvalidKey,
     },
 }
 
 impl ScriptError {
-    /// The line of the script, from 1.
+    /// Line of the error, from 1.
     pub fn line(&self) -> usize {
         match self {
             ScriptError::Malformed { line, .. } | ScriptError::Invalid { line, .. } => *line,
         }
     }
 
-    /// The key whose value is invalid, as `faults.2.strength`.
+    /// Path of the key with the invalid value, such as `faults.2.strength`.
     pub fn key(&self) -> Option<&str> {
         match self {
             ScriptError::Malformed { .. } => None,
@@ -42,18 +42,18 @@
     }
 }
 
-/// A key whose value is invalid, as `faults.2.strength`.
+/// A key with an invalid value.
 #[derive(Clone, Debug, PartialEq, Error)]
 #[error("{key} {reason}")]
 pub struct InvalidKey {
-    /// The key with its path.
+    /// Path of the key, such as `faults.2.strength`.
     pub key: String,
-    /// What is wrong with its value.
+    /// Why the value is invalid.
     pub reason: InvalidValue,
 }
 
 impl InvalidKey {
-    /// A key whose value breaks a rule, worded to follow the key in a sentence.
+    /// A value that breaks a rule. The rule is phrased to follow the key in a sentence.
     pub fn rule(key: impl Into<String>, rule: &'static str) -> Self {
         InvalidKey {
             key: key.into(),
@@ -62,51 +62,53 @@
     }
 }
 
-/// What is wrong with a value.
+/// Why a value is invalid.
 #[derive(Clone, Debug, PartialEq, Error)]
 pub enum InvalidValue {
-    /// A number is too small or too large.
-    #[error("is {value}; it must lie between {least} and {most}")]
+    /// The number is outside its range.
+    #[error("is {value}; it must be between {least} and {most}")]
     OutOfRange {
         /// The number.
         value: f64,
-        /// The least that is allowed.
+        /// Lower bound, inclusive.
         least: f64,
-        /// The most that is allowed.
+        /// Upper bound, inclusive.
         most: f64,
     },
-    /// Another rule is broken, worded to follow the key in a sentence.
+    /// The value breaks another rule, phrased to follow the key in a sentence.
     #[error("{0}")]
     BreaksRule(&'static str),
 }
 
-/// Reads a text and validates what it says.
+/// Deserializes a text and validates the result.
 ///
 /// # Errors
 ///
-/// What the parser or `validate` finds first, with its line.
+/// The first error of the parser or of `validate`, with its line.
 pub fn read_validated<T: DeserializeOwned>(
     text: &str,
     validate: impl FnOnce(&T) -> Result<(), InvalidKey>,
 ) -> Result<T, ScriptError> {
-    let read: T = toml::from_str(text).map_err(|error| ScriptError::Malformed {
-        line: error.span().map_or(1, |span| line_at(text, span.start)),
+    let value: T = toml::from_str(text).map_err(|error| ScriptError::Malformed {
+        line: error
+            .span()
+            .map_or(1, |span| line_at_offset(text, span.start)),
         message: error.message().to_string(),
     })?;
-    validate(&read).map_err(|invalid| ScriptError::Invalid {
-        line: line_of(text, &invalid.key),
+    validate(&value).map_err(|invalid| ScriptError::Invalid {
+        line: line_of_key(text, &invalid.key),
         invalid,
     })?;
-    Ok(read)
+    Ok(value)
 }
 
-fn line_at(text: &str, offset: usize) -> usize {
+fn line_at_offset(text: &str, offset: usize) -> usize {
     let before = &text.as_bytes()[..offset.min(text.len())];
     before.iter().filter(|byte| **byte == b'\n').count() + 1
 }
 
-/// The line of a key; of the deepest part of its path that is there, where the key itself is missing.
-fn line_of(text: &str, key: &str) -> usize {
+/// The line of a key, or of its closest ancestor in the text if the key itself is missing.
+fn line_of_key(text: &str, key: &str) -> usize {
     let Ok(root) = DeTable::parse(text) else {
         return 1;
     };
@@ -125,7 +127,7 @@
             _ => None,
         };
         let Some(found) = found else { break };
-        line = line_at(text, found.span().start);
+        line = line_at_offset(text, found.span().start);
         value = found.into_inner();
     }
     line
--- a/simulator/src/script/validation.rs
+++ b/simulator/src/script/validation.rs
@@ -1,15 +1,15 @@
-//! The rules that the values of a script keep, checked in the order of the file's sections.
+//! Validation of scripts, in the order of their sections.
 
 use super::fault::{Fault, FaultKind};
 use super::reader::{InvalidKey, InvalidValue};
 use super::types::{Burst, MachineType, RequestClass, Script};
 
-/// No run or fault lasts longer than a day.
-const MAX_DURATION_S: f64 = 86_400.0;
+/// Upper bound of the duration of runs and faults.
+const MAX_DURATION_S: f64 = 24.0 * 60.0 * 60.0;
 
 type Validation = Result<(), InvalidKey>;
 
-fn within(key: &str, value: f64, least: f64, most: f64) -> Validation {
+fn check_range(key: &str, value: f64, least: f64, most: f64) -> Validation {
     if (least..=most).contains(&value) {
         return Ok(());
     }
@@ -19,19 +19,19 @@
     })
 }
 
-/// Checks rows of key, value, least and most.
-fn all_within<const ROWS: usize>(rows: [(&str, f64, f64, f64); ROWS]) -> Validation {
+/// Checks rows of key, value, lower bound and upper bound.
+fn check_ranges<const ROWS: usize>(rows: [(&str, f64, f64, f64); ROWS]) -> Validation {
     rows.into_iter()
-        .try_for_each(|(key, value, least, most)| within(key, value, least, most))
+        .try_for_each(|(key, value, least, most)| check_range(key, value, least, most))
 }
 
-/// The same for the keys of one table of an array, `section.index`.
-fn all_within_item<const ROWS: usize>(
+/// Like [`check_ranges`], with keys relative to the path of one table of an array, such as `machines.0`.
+fn check_item_ranges<const ROWS: usize>(
     item: &str,
     rows: [(&str, f64, f64, f64); ROWS],
 ) -> Validation {
     rows.into_iter().try_for_each(|(key, value, least, most)| {
-        within(&format!("{item}.{key}"), value, least, most)
+        check_range(&format!("{item}.{key}"), value, least, most)
     })
 }
 
@@ -49,26 +49,26 @@
     }
 
     fn validate_run(&self) -> Validation {
-        within("seconds", self.duration_s, 1.0, MAX_DURATION_S)?;
-        within("settle", self.settling_s, 0.0, self.duration_s - 1.0)?;
-        within("nodes", self.proxies as f64, 1.0, 2000.0)?;
+        check_range("seconds", self.duration_s, 1.0, MAX_DURATION_S)?;
+        check_range("settle", self.settling_s, 0.0, self.duration_s - 1.0)?;
+        check_range("nodes", self.proxies as f64, 1.0, 2000.0)?;
         let zones = &self.zones;
         let repeated = (1..zones.len()).any(|index| zones[..index].contains(&zones[index]));
         if zones.is_empty() || repeated {
-            let rule = "must name at least one zone, and none twice";
+            let rule = "must list at least one zone, without duplicates";
             return Err(InvalidKey::rule("zones", rule));
         }
         Ok(())
     }
 
-    /// The sections whose keys are numbers within a range. It is a table: one row a line reads better than six.
+    /// Checks the ranges of the sections that hold mostly numbers. `rustfmt` would split each row over six lines.
     #[rustfmt::skip]
     fn validate_settings(&self) -> Validation {
         let network = &self.network;
         let limits = &self.limits;
         let clients = &self.clients;
         let load = &self.load;
-        all_within([
+        check_ranges([
             ("way.same_ms", network.same_zone_ms, 0.0, 1e4),
             ("way.cross_ms", network.cross_zone_ms, 0.0, 1e4),
             ("way.jitter", network.jitter_sigma, 0.0, 3.0),
@@ -103,15 +103,18 @@
 
     fn validate_request_classes(&self) -> Validation {
         if self.request_classes.is_empty() {
-            return Err(InvalidKey::rule("categories", "must hold at least one"));
+            return Err(InvalidKey::rule(
+                "categories",
+                "must have at least one entry",
+            ));
         }
         for (index, class) in self.request_classes.iter().enumerate() {
             let item = format!("categories.{index}");
             validate_request_class(&item, class)?;
             let earlier = &self.request_classes[..index];
-            let taken = earlier.iter().any(|other| other.name == class.name);
-            if class.name.is_empty() || taken {
-                let rule = "is empty, or another category has it";
+            let duplicate = earlier.iter().any(|other| other.name == class.name);
+            if class.name.is_empty() || duplicate {
+                let rule = "must be unique and not empty";
                 return Err(InvalidKey::rule(format!("{item}.name"), rule));
             }
         }
@@ -120,7 +123,7 @@
 
     fn validate_machine_types(&self) -> Validation {
         if self.machine_types.is_empty() {
-            return Err(InvalidKey::rule("machines", "must hold at least one kind"));
+            return Err(InvalidKey::rule("machines", "must have at least one entry"));
         }
         for (index, machine) in self.machine_types.iter().enumerate() {
             validate_machine_type(&format!("machines.{index}"), machine)?;
@@ -130,9 +133,14 @@
 
     fn validate_load(&self) -> Validation {
         match (self.load.rate, self.load.capacity_fraction) {
-            (Some(rate), None) => within("load.rate", rate, 0.001, 1e6)?,
-            (None, Some(fraction)) => within("load.share", fraction, 0.001, 10.0)?,
-            _ => return Err(InvalidKey::rule("load", "must have either rate or share")),
+            (Some(rate), None) => check_range("load.rate", rate, 0.001, 1e6)?,
+            (None, Some(fraction)) => check_range("load.share", fraction, 0.001, 10.0)?,
+            _ => {
+                return Err(InvalidKey::rule(
+                    "load",
+                    "must have either rate or share, not both",
+                ))
+            }
         }
         self.validate_bursts("load.bursts", &self.load.bursts)?;
         self.validate_bursts("load.hot", &self.load.hot_key)
@@ -140,7 +148,7 @@
 
     fn validate_bursts(&self, key: &str, bursts: &[Burst]) -> Validation {
         for (index, burst) in bursts.iter().enumerate() {
-            all_within_item(
+            check_item_ranges(
                 &format!("{key}.{index}"),
                 [
                     ("at", burst.start_s, 0.0, self.duration_s),
@@ -161,7 +169,7 @@
             FaultKind::ClockStep => (-86_400.0, 86_400.0),
             _ => (0.0, 1e5),
         };
-        all_within_item(
+        check_item_ranges(
             item,
             [
                 ("at", fault.start_s, 0.0, self.duration_s),
@@ -175,24 +183,24 @@
 
     fn validate_fault_targets(&self, item: &str, fault: &Fault) -> Validation {
         let wrong = |key: &str, rule| Err(InvalidKey::rule(format!("{item}.{key}"), rule));
-        let known_zone = |zone: &String| self.zones.contains(zone);
-        if !fault.zone.as_ref().is_none_or(known_zone) {
-            return wrong("zone", "names no zone of this script");
+        let is_known_zone = |zone: &String| self.zones.contains(zone);
+        if !fault.zone.as_ref().is_none_or(is_known_zone) {
+            return wrong("zone", "is not one of the zones of the script");
         }
-        let known_type = |name: &String| {
+        let is_known_type = |name: &String| {
             self.machine_types
                 .iter()
                 .any(|machine| machine.name == *name)
         };
-        if !fault.machine_type.as_ref().is_none_or(known_type) {
-            return wrong("machine", "names no kind of machine of this script");
+        if !fault.machine_type.as_ref().is_none_or(is_known_type) {
+            return wrong("machine", "is not one of the machine kinds of the script");
         }
         let partition = matches!(
             fault.kind,
             FaultKind::ZonePartition | FaultKind::OneWayPartition
         );
         if partition && fault.zone.is_none() {
-            return wrong("zone", "is missing: a cut needs one");
+            return wrong("zone", "is required for zone-cut and one-way-cut");
         }
         Ok(())
     }
@@ -200,7 +208,7 @@
 
 fn validate_request_class(item: &str, class: &RequestClass) -> Validation {
     let tail_exponent = class.work_tail_exponent.unwrap_or(2.0);
-    all_within_item(
+    check_item_ranges(
         item,
         [
             ("target_ms", class.latency_objective_ms, 1.0, 1e6),
@@ -218,7 +226,7 @@
 }
 
 fn validate_machine_type(item: &str, machine: &MachineType) -> Validation {
-    all_within_item(
+    check_item_ranges(
         item,
         [
             ("count", machine.count as f64, 1.0, 10_000.0),
@@ -239,7 +247,7 @@
     let Some(degradation) = machine.degradation else {
         return Ok(());
     };
-    all_within_item(
+    check_item_ranges(
         item,
         [
             ("tips.after_ms", degradation.queue_wait_ms, 0.1, 1e6),
--- a/simulator/tests/script.rs
+++ b/simulator/tests/script.rs
@@ -48,7 +48,12 @@
 
 #[test]
 fn values_out_of_range_are_refused_with_line_and_key() {
-    assert_refused_there("nodes = 3", "nodes = 0", "nodes", "between 1 and 2000");
+    assert_refused_there(
+        "nodes = 3",
+        "nodes = 0",
+        "nodes",
+        "must be between 1 and 2000",
+    );
     assert_refused_there(
         "ttl_ms = 800",
         "ttl_ms = -1",
@@ -57,7 +62,12 @@
     );
     assert_refused_there("count = 8", "count = 0", "machines.0.count", "between");
     let zones = "zones = [\"a\", \"a\"]";
-    assert_refused_there("zones = [\"a\", \"b\"]", zones, "zones", "none twice");
+    assert_refused_there(
+        "zones = [\"a\", \"b\"]",
+        zones,
+        "zones",
+        "without duplicates",
+    );
     let strength = "strength = 2.0";
     assert_refused_there("strength = 0.2", strength, "faults.1.strength", "is 2");
     // The error names the first line of this replacement.
@@ -75,12 +85,17 @@
     let both = "share = 0.4\nrate = 9";
     assert_refused("share = 0.4", both, "load", "either rate or share");
     let zone = "part = 0.5\nzone = \"nowhere\"";
-    assert_refused("part = 0.5", zone, "faults.0.zone", "names no zone");
+    assert_refused(
+        "part = 0.5",
+        zone,
+        "faults.0.zone",
+        "is not one of the zones",
+    );
     let partition = "kind = \"zone-cut\"";
     assert_refused(
         "kind = \"release\"",
         partition,
         "faults.0.zone",
-        "a cut needs one",
+        "is required for zone-cut",
     );
 }
