--- a/scenarios/src/cli.rs
+++ b/scenarios/src/cli.rs
@@ -1,15 +1,15 @@
-//! The command line.
+//! Command line of `crankmux-scenarios`.
 
 use crate::error::CommandError;
 use crate::{cluster, rehearse, soak, tables};
 use clap::{Parser, Subcommand};
 
-/// The command line of `crankmux-scenarios`.
+/// Command line of `crankmux-scenarios`.
 #[derive(Parser)]
 #[command(
     name = "crankmux-scenarios",
     version,
-    about = "Rehearses incidents before crankmux"
+    about = "Rehearses incidents of crankmux in simulation and with real proxy processes"
 )]
 pub struct Cli {
     #[command(subcommand)]
@@ -18,32 +18,32 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Plays a script, and says what service it came to and whether the rules were kept
+    /// Simulate a script and report the service and any violated rules
     Rehearse(rehearse::RehearseArgs),
-    /// Plays every script that ships by the module and the baselines: a table
+    /// Simulate every built-in script with each policy and print a table
     Table(tables::TableArgs),
-    /// Plays all pairs of eight faults on one world: a table of service and rules
+    /// Simulate all pairs of eight faults and print a table of service and violated rules
     Pairs(tables::PairsArgs),
-    /// Runs a script over several proxy processes, with faults between them
+    /// Run a script against several proxy processes, with faults injected between them
     Cluster(cluster::ClusterArgs),
-    /// Restarts, reloads and upgrades proxies under load and faults, a run for each seed
+    /// Restart, reload and upgrade proxies under load and faults, in one run per seed
     Soak(soak::SoakArgs),
-    /// The former name of `cluster`
+    /// Deprecated alias of `cluster`
     #[command(hide = true)]
     Fleet(cluster::ClusterArgs),
 }
 
-/// Whether the rules were kept.
+/// Whether a command's runs kept the rules.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// All of them.
+    /// No rule was violated.
     RulesKept,
-    /// At least one was broken.
+    /// At least one rule was violated.
     RulesBroken,
 }
 
 impl Verdict {
-    /// The verdict on rules that were all kept, or not.
+    /// `RulesKept` if all rules were kept.
     pub fn from_kept(kept: bool) -> Self {
         if kept {
             Verdict::RulesKept
@@ -58,7 +58,7 @@
     ///
     /// # Errors
     ///
-    /// An invalid script or argument, or a file that cannot be read or written.
+    /// A script or argument is invalid, a run fails, or a file cannot be read or written.
     pub fn run(&self) -> Result<Verdict, CommandError> {
         match &self.command {
             Command::Rehearse(arguments) => rehearse::run(arguments),
--- a/scenarios/src/cluster/mod.rs
+++ b/scenarios/src/cluster/mod.rs
@@ -1,6 +1,6 @@
-//! `cluster`: runs a script over several proxy processes, with faults between them.
+//! The `cluster` command: runs a script against several proxy processes, with faults injected between them.
 
-/// The scripts that ship, their environments, and reading a script.
+/// The built-in cluster scripts and their environments, and loading a script from a file.
 pub mod scripts;
 mod summary;
 
@@ -13,80 +13,82 @@
 const FAILURE: u8 = 1;
 const WRONG_ARGUMENT: u8 = 2;
 
-/// The arguments of `cluster`.
+/// Arguments of `cluster`.
 #[derive(clap::Args)]
 pub struct ClusterArgs {
-    /// A script's file, or the name of one that ships
+    /// Path of a script, or the name of a built-in one [default: kills]
     script: Option<PathBuf>,
-    /// So many processes, over the script's
+    /// Number of processes; overrides the script
     #[arg(long)]
     processes: Option<usize>,
-    /// So long, over the script's
+    /// Duration in seconds; overrides the script
     #[arg(long)]
     seconds: Option<f64>,
-    /// Requests a second from all clients, over the script's
+    /// Requests per second from all clients; overrides the script
     #[arg(long)]
     rate: Option<f64>,
-    /// The number of proxies according to the settings
+    /// Number of proxies in the settings
     #[arg(long = "told")]
     configured_proxies: Option<usize>,
+    /// Seed of the run
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// Without an operator's file: proxies that do not know each other
+    /// Run without an operator configuration: the proxies form no cluster
     #[arg(long)]
     strangers: bool,
-    /// Where figures.json goes, and the proxies' files while they run
+    /// Directory for figures.json, and for the proxies' files during the run
     #[arg(long, default_value = "fleet-out")]
     out: PathBuf,
-    /// The proxy's program; else the one beside this
+    /// Path of the proxy program [default: crankmux in the directory of this program]
     #[arg(long)]
     program: Option<PathBuf>,
 }
 
-/// Why a script was not run, or its report not written.
+/// Errors of the `cluster` command.
 #[derive(Debug, thiserror::Error)]
 pub enum ClusterError {
-    /// The script cannot be read.
+    /// The script cannot be loaded.
     #[error(transparent)]
-    Script(#[from] scripts::ReadError),
-    /// An environment that ships is invalid.
+    Script(#[from] scripts::LoadError),
+    /// A built-in environment is invalid.
     #[error(transparent)]
-    ShippedEnvironment(ScriptError),
-    /// The environment that the script names cannot be read.
+    BuiltInEnvironment(ScriptError),
+    /// The environment of the script cannot be loaded.
     #[error(transparent)]
     Environment(Box<CommandError>),
-    /// There is no program of a proxy.
-    #[error("{}: no program there; cargo build --release makes it", .0.display())]
-    NoProgram(PathBuf),
+    /// The proxy program does not exist.
+    #[error("{}: proxy program not found; build it with `cargo build --release`", .0.display())]
+    ProgramNotFound(PathBuf),
     /// The run failed.
     #[error(transparent)]
     Run(#[from] RunError),
     /// The report cannot be written.
     #[error(transparent)]
     Write(#[from] std::io::Error),
-    /// The report cannot be encoded as JSON.
+    /// The report cannot be serialized to JSON.
     #[error(transparent)]
     Encode(#[from] serde_json::Error),
 }
 
 impl ClusterError {
-    /// The exit code of the program.
+    /// Exit code of the program for this error.
     pub fn exit_code(&self) -> u8 {
         match self {
             ClusterError::Script(_)
-            | ClusterError::ShippedEnvironment(_)
-            | ClusterError::NoProgram(_) => WRONG_ARGUMENT,
+            | ClusterError::BuiltInEnvironment(_)
+            | ClusterError::ProgramNotFound(_) => WRONG_ARGUMENT,
             ClusterError::Environment(error) => error.exit_code(),
             ClusterError::Run(_) | ClusterError::Write(_) | ClusterError::Encode(_) => FAILURE,
         }
     }
 }
 
-/// Runs the script that the arguments name.
+/// Runs the command.
 ///
 /// # Errors
 ///
-/// An invalid script or environment, no program of a proxy, or a report that cannot be written.
+/// The script or its environment is invalid, the proxy program does not exist, the run fails, or the report cannot be
+/// written.
 pub fn run(args: &ClusterArgs) -> Result<Verdict, ClusterError> {
     let report = run_and_write(args)?;
     summary::print(&report);
@@ -94,45 +96,45 @@
 }
 
 fn run_and_write(args: &ClusterArgs) -> Result<Report, ClusterError> {
-    let mut script = scripts::read(args.script.as_deref())?;
-    override_script(&mut script, args);
-    let program = find_program(args.program.as_deref()).map_err(ClusterError::NoProgram)?;
+    let mut script = scripts::load(args.script.as_deref())?;
+    apply_overrides(&mut script, args);
+    let program = find_program(args.program.as_deref()).map_err(ClusterError::ProgramNotFound)?;
     let start = Start {
         cluster: !args.strangers,
         configured_proxies: args.configured_proxies,
         seed: args.seed,
         ..Start::new(program, args.out.join("run"))
     };
-    let report = run_script(&script, environment(&script.environment)?, start)?;
+    let report = run_script(&script, load_environment(&script.environment)?, start)?;
     std::fs::create_dir_all(&args.out)?;
     let text = serde_json::to_string_pretty(&report)?;
     std::fs::write(args.out.join("figures.json"), text)?;
     Ok(report)
 }
 
-fn override_script(script: &mut RunScript, args: &ClusterArgs) {
+fn apply_overrides(script: &mut RunScript, args: &ClusterArgs) {
     script.processes = args.processes.unwrap_or(script.processes);
     script.seconds = args.seconds.unwrap_or(script.seconds);
     script.rate = args.rate.or(script.rate);
-    // Faults leave out the proxies that a smaller cluster does not have.
+    // A smaller cluster lacks some of the proxies that faults target.
     for fault in &mut script.faults {
         fault.targets.retain(|target| *target < script.processes);
     }
 }
 
-/// The program of a proxy: the one that was named, or the one beside this.
+/// Finds the proxy program: the given path, or `crankmux` in the directory of this program.
 ///
 /// # Errors
 ///
-/// The path at which there is no program.
-pub(crate) fn find_program(named: Option<&Path>) -> Result<PathBuf, PathBuf> {
-    let beside = || {
-        let own = std::env::current_exe().ok()?;
-        Some(own.parent()?.join("crankmux"))
+/// The path, if it does not exist.
+pub(crate) fn find_program(path: Option<&Path>) -> Result<PathBuf, PathBuf> {
+    let sibling = || {
+        let current = std::env::current_exe().ok()?;
+        Some(current.parent()?.join("crankmux"))
     };
-    let program = named
+    let program = path
         .map(Path::to_path_buf)
-        .or_else(beside)
+        .or_else(sibling)
         .unwrap_or_else(|| "crankmux".into());
     if program.exists() {
         Ok(program)
@@ -141,11 +143,11 @@
     }
 }
 
-/// An environment that ships with the scripts of clusters, or any script of the simulator.
-fn environment(name: &str) -> Result<Script, ClusterError> {
-    if let Some(text) = scripts::shipped_environment(name) {
-        return Script::read(text).map_err(ClusterError::ShippedEnvironment);
+/// Loads a built-in cluster environment, or any script of the simulator.
+fn load_environment(name: &str) -> Result<Script, ClusterError> {
+    if let Some(text) = scripts::built_in_environment(name) {
+        return Script::read(text).map_err(ClusterError::BuiltInEnvironment);
     }
-    crate::scripts::read(Some(Path::new(name)))
+    crate::scripts::load(Some(Path::new(name)))
         .map_err(|error| ClusterError::Environment(Box::new(error)))
 }
--- a/scenarios/src/cluster/scripts.rs
+++ b/scenarios/src/cluster/scripts.rs
@@ -1,18 +1,18 @@
-//! The scripts of clusters that ship, their environments, and reading a script from a file.
+//! The built-in cluster scripts and their environments, and loading a script from a file.
 
 use crankmux_fault_injection::RunScript;
 use crankmux_simulator::script::ScriptError;
 use std::path::Path;
 
-macro_rules! ship {
+macro_rules! include_scripts {
     ($($name:literal),* $(,)?) => {
         &[$(($name, include_str!(concat!("../../scripts/fleet/", $name, ".toml")))),*]
     };
 }
 
-/// Name and text of each script that ships; the first is run where none is named.
-pub const SHIPPED: &[(&str, &str)] =
-    ship!["kills", "lossy", "gone", "doubled", "storm", "five", "leavers"];
+/// Name and text of each built-in script; the first is the default.
+pub const BUILT_IN: &[(&str, &str)] =
+    include_scripts!["kills", "lossy", "gone", "doubled", "storm", "five", "leavers"];
 
 const ENVIRONMENTS: [(&str, &str); 2] = [
     (
@@ -25,55 +25,55 @@
     ),
 ];
 
-/// Why a script could not be read.
+/// Errors of loading a script.
 #[derive(Debug, thiserror::Error)]
-pub enum ReadError {
+pub enum LoadError {
     /// The file cannot be read.
     #[error("{name}: {source}")]
     File {
-        /// The file.
+        /// Path of the file.
         name: String,
-        /// Why.
+        /// Cause of the failure.
         source: std::io::Error,
     },
     /// The script is invalid.
     #[error("{name}: {source}")]
     Script {
-        /// Its name or file.
+        /// Name or path of the script.
         name: String,
-        /// Where and why.
+        /// Line and reason.
         source: ScriptError,
     },
 }
 
-/// Reads the script of this name, or from this file; the first that ships where none is named.
+/// Loads a script by built-in name or path, or the default script.
 ///
 /// # Errors
 ///
 /// The file cannot be read, or the script is invalid.
-pub fn read(named: Option<&Path>) -> Result<RunScript, ReadError> {
-    let name = named.map_or(SHIPPED[0].0.into(), Path::to_string_lossy);
-    let text = match text_of(SHIPPED, &name) {
+pub fn load(name_or_path: Option<&Path>) -> Result<RunScript, LoadError> {
+    let name = name_or_path.map_or(BUILT_IN[0].0.into(), Path::to_string_lossy);
+    let text = match find_text(BUILT_IN, &name) {
         Some(text) => text.to_string(),
-        None => std::fs::read_to_string(&*name).map_err(|source| ReadError::File {
+        None => std::fs::read_to_string(&*name).map_err(|source| LoadError::File {
             name: name.to_string(),
             source,
         })?,
     };
-    RunScript::read(&text).map_err(|source| ReadError::Script {
+    RunScript::read(&text).map_err(|source| LoadError::Script {
         name: name.into_owned(),
         source,
     })
 }
 
-/// The text of the environment of this name, if it ships.
-pub fn shipped_environment(name: &str) -> Option<&'static str> {
-    text_of(&ENVIRONMENTS, name)
+/// The text of a built-in environment.
+pub fn built_in_environment(name: &str) -> Option<&'static str> {
+    find_text(&ENVIRONMENTS, name)
 }
 
-fn text_of(shipped: &[(&str, &'static str)], name: &str) -> Option<&'static str> {
-    shipped
+fn find_text(texts: &[(&str, &'static str)], name: &str) -> Option<&'static str> {
+    texts
         .iter()
-        .find(|(shipped_name, _)| *shipped_name == name)
+        .find(|(text_name, _)| *text_name == name)
         .map(|(_, text)| *text)
 }
--- a/scenarios/src/cluster/summary.rs
+++ b/scenarios/src/cluster/summary.rs
@@ -1,66 +1,66 @@
-//! What is printed of a run.
+//! The printed summary of a run.
 
 use crankmux_fault_injection::{Report, Times};
 
-/// Broken rules that are printed in words; figures.json has all.
-const BROKEN_PRINTED: usize = 5;
+/// Maximum number of violations that are printed; figures.json has all of them.
+const MAX_PRINTED_VIOLATIONS: usize = 5;
 
-/// Prints a run's figures in a few lines.
+/// Prints the summary of a run.
 pub(super) fn print(report: &Report) {
     print_cluster(report);
     print_service(report);
-    println!("  rules broken {:?}", report.rules_broken);
-    for broken in report.broken.iter().take(BROKEN_PRINTED) {
-        println!("    {broken}");
+    println!("  rule violations {:?}", report.rules_broken);
+    for violation in report.broken.iter().take(MAX_PRINTED_VIOLATIONS) {
+        println!("    {violation}");
     }
 }
 
-fn times(times: &Times) -> String {
+fn format_times(times: &Times) -> String {
     format!(
-        "{} of them, median {:.0} ms, p99 {:.0} ms, most {:.0} ms, never {}",
+        "{} samples, median {:.0} ms, p99 {:.0} ms, max {:.0} ms, never {}",
         times.count, times.median, times.p99, times.max, times.never
     )
 }
 
 fn print_cluster(report: &Report) {
-    let known = if report.cluster {
-        "know each other"
+    let mode = if report.cluster {
+        "as a cluster"
     } else {
-        "do not know each other"
+        "without a cluster"
     };
     println!(
-        "{}: {} processes that {known}, told {}, seed {}",
+        "{}: {} processes {mode}, {} proxies in the settings, seed {}",
         report.name, report.processes, report.configured_proxies, report.seed
     );
     if let Some(joined_ms) = report.joined_ms {
-        let detection = times(&report.failure_detection);
-        let convergence = times(&report.convergence);
-        println!("  all knew all after        {joined_ms:.0} ms");
-        println!("  kills and standstills     {detection}");
-        println!("  cuts healed               {convergence}");
+        let detection = format_times(&report.failure_detection);
+        let convergence = format_times(&report.convergence);
+        println!("  cluster joined after      {joined_ms:.0} ms");
+        println!("  failure detection         {detection}");
+        println!("  convergence after cuts    {convergence}");
         println!(
-            "  nodes assumed at the end  {:.1}",
+            "  estimated proxies at end  {:.1}",
             report.assumed_proxies_at_end
         );
-        println!("  live ones taken for failed {}", report.false_alarms);
+        println!("  false alarms              {}", report.false_alarms);
     }
     if let Some((proxy, states)) = &report.seen_at_end {
         let states: Vec<String> = states
             .iter()
             .map(|(other, state)| format!("{other} {state}"))
             .collect();
-        println!("  node {proxy} sees at the end  {}", states.join(", "));
+        println!("  states at end, by proxy {proxy}: {}", states.join(", "));
     }
 }
 
 fn print_service(report: &Report) {
     let service = &report.service;
-    let owed = (service.requests - service.unanswered).max(1) as f64;
+    let answerable = (service.requests - service.unanswered).max(1) as f64;
     println!(
-        "  ops {}: acked in time {:.2}%, acked {:.2}%, nacked {}, dead-lettered {}, gone with their node {}",
+        "  requests {}: in time {:.2}%, succeeded {:.2}%, rejected {}, failed {}, lost with their proxy {}",
         service.requests,
-        100.0 * service.in_time as f64 / owed,
-        100.0 * service.succeeded as f64 / owed,
+        100.0 * service.in_time as f64 / answerable,
+        100.0 * service.succeeded as f64 / answerable,
         service.rejected,
         service.failed,
         service.unanswered
@@ -70,11 +70,11 @@
         report.latency_ms.median, report.latency_ms.p99, report.latency_p999_ms
     );
     println!(
-        "  a node: {:.0} bytes of datagrams a second, {:.1} ms of a processor a second",
+        "  per proxy: {:.0} datagram bytes/s, {:.1} ms CPU time/s",
         report.datagram_bytes_per_second, report.cpu_ms_per_second
     );
     println!(
-        "  {} clients left while they waited; pushes of theirs under 10, 30, 100 ms later and over: {:?}",
+        "  {} clients disconnected; attempts sent within 10, 30, 100 ms after and later: {:?}",
         report.clients_left, report.attempts_after_leaves
     );
 }
--- a/scenarios/src/error.rs
+++ b/scenarios/src/error.rs
@@ -1,4 +1,4 @@
-//! Why a command fails.
+//! Errors of the commands.
 
 use crate::cluster::ClusterError;
 use crate::soak::SoakCommandError;
@@ -9,66 +9,66 @@
 use std::path::PathBuf;
 use thiserror::Error;
 
-/// Exit code of an invalid script or argument.
+/// Exit code for an invalid script or argument.
 const INVALID_INPUT: u8 = 2;
-/// Exit code of any other failure.
+/// Exit code for any other error.
 const OTHER_FAILURE: u8 = 1;
 
-/// Why a command fails.
+/// Errors of the commands.
 #[derive(Debug, Error)]
 pub enum CommandError {
-    /// No script that ships has this name.
-    #[error("{name}: no such script; --list names them")]
+    /// No built-in script has this name.
+    #[error("{name}: unknown script; use --list to show the built-in scripts")]
     UnknownScript {
-        /// The name.
+        /// Name as given.
         name: String,
     },
-    /// A script's file cannot be read.
+    /// The file of a script cannot be read.
     #[error("{path}: {source}")]
     UnreadableScript {
-        /// The file.
+        /// Path of the file.
         path: String,
-        /// Why.
+        /// Cause of the failure.
         source: io::Error,
     },
-    /// A script is invalid.
+    /// The script is invalid.
     #[error("{name}: {source}")]
     InvalidScript {
-        /// Its name or file.
+        /// Name or path of the script.
         name: String,
-        /// Where and why.
+        /// Line and reason.
         source: ScriptError,
     },
     /// No policy has this name.
-    #[error("--by {name}: no such chooser")]
+    #[error("--by {name}: unknown policy")]
     UnknownPolicy {
-        /// The name.
+        /// Name as given.
         name: String,
     },
-    /// A policy cannot be made from the script's settings.
+    /// The settings derived from the script are invalid.
     #[error(transparent)]
     Policy(#[from] PolicyError),
-    /// The results cannot be written as JSON.
+    /// The results cannot be serialized to JSON.
     #[error(transparent)]
     Json(#[from] serde_json::Error),
     /// The report cannot be written.
-    #[error("{}: {source}", folder.display())]
+    #[error("{}: {source}", directory.display())]
     UnwritableReport {
-        /// Its folder.
-        folder: PathBuf,
-        /// Why.
+        /// Directory of the report.
+        directory: PathBuf,
+        /// Cause of the failure.
         source: ReportError,
     },
-    /// The command `cluster` failed.
+    /// Error of the `cluster` command.
     #[error(transparent)]
     Cluster(#[from] ClusterError),
-    /// The command `soak` failed.
+    /// Error of the `soak` command.
     #[error(transparent)]
     Soak(#[from] SoakCommandError),
 }
 
 impl CommandError {
-    /// The exit code of the program.
+    /// Exit code of the program for this error.
     pub fn exit_code(&self) -> u8 {
         match self {
             CommandError::UnknownScript { .. }
@@ -83,7 +83,7 @@
     }
 }
 
-/// Why a report cannot be written.
+/// Errors of writing a report.
 #[derive(Debug, Error)]
 pub enum ReportError {
     /// A file or folder cannot be written.
--- a/scenarios/src/lib.rs
+++ b/scenarios/src/lib.rs
@@ -1,17 +1,17 @@
-//! Rehearses incidents: runs scripts in simulation or over several proxies, and reports what they came to.
+//! Incident rehearsal: runs scripts in simulation or against several proxy processes, and reports the results.
 //!
 //! The program `crankmux-scenarios` parses a [`cli::Cli`], runs it, and turns the [`cli::Verdict`] or the
 //! [`error::CommandError`] into an exit code.
 
 /// The command line.
 pub mod cli;
-/// The `cluster` command: runs a script over several proxy processes, with faults between them.
+/// The `cluster` command: runs a script against several proxy processes, with faults injected between them.
 pub mod cluster;
 /// Errors of the commands.
 pub mod error;
 /// The `rehearse` command: runs one script with one or more seeds and writes a report.
 pub mod rehearse;
-/// The report of a script: report.md, its charts and figures.json.
+/// Reports of a script's runs: report.md, its charts and figures.json.
 pub mod report;
 /// Parallel simulation runs of scripts.
 pub mod runs;
--- a/scenarios/src/main.rs
+++ b/scenarios/src/main.rs
@@ -1,13 +1,13 @@
-//! The program `crankmux-scenarios`.
+//! Entry point of `crankmux-scenarios`.
 
 use clap::Parser;
 use crankmux_scenarios::cli::{Cli, Verdict};
 use std::process::ExitCode;
 
-/// Exit code of a run in which a rule was broken.
+/// Exit code if a run violated a rule.
 const RULES_BROKEN: u8 = 3;
 
-/// Exit codes: 0 rules kept, 3 a rule broken, 2 an invalid script or argument, 1 what else failed.
+/// Exit codes: 0 if all rules were kept, 1 for a failure, 2 for an invalid script or argument, 3 for a violated rule.
 fn main() -> ExitCode {
     match Cli::parse().run() {
         Ok(Verdict::RulesKept) => ExitCode::SUCCESS,
--- a/scenarios/src/rehearse.rs
+++ b/scenarios/src/rehearse.rs
@@ -1,43 +1,43 @@
-//! `rehearse`: one script with one seed or several, a table and a report.
+//! The `rehearse` command: runs one script with one or more seeds and writes a report.
 
 use crate::cli::Verdict;
 use crate::error::CommandError;
 use crate::report;
 use crate::runs::{run_all, Run};
-use crate::scripts::{self, SHIPPED};
+use crate::scripts::{self, BUILT_IN};
 use crate::statistics::ConfidenceInterval;
 use crankmux_simulator::invariants::RULES;
 use crankmux_simulator::policies::PolicyKind;
 use crankmux_simulator::results::RunResults;
 use std::path::PathBuf;
 
-/// Violations that are printed with the history of their request, at most.
+/// Maximum number of violations that are printed with the history of their request.
 const MAX_PRINTED_VIOLATIONS: usize = 5;
 
-/// The arguments of `rehearse`.
+/// Arguments of `rehearse`.
 #[derive(clap::Args)]
 pub struct RehearseArgs {
-    /// A script's file, or the name of one that ships; the built-in one where none is named
+    /// Path of a script, or the name of a built-in one [default: saturday]
     script: Option<PathBuf>,
-    /// Which day of the script
+    /// Seed of the first run
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// So many days, from that seed on
+    /// Number of runs, with consecutive seeds
     #[arg(long, default_value_t = 1)]
     seeds: u64,
-    /// Who picks the servers: module, random, round-robin, least-outstanding, two-choices or top
+    /// Load balancing policy: module, random, round-robin, least-outstanding, two-choices or top
     #[arg(long = "by", value_name = "BY", default_value = "module")]
     policy: String,
-    /// Where report.md, its charts and figures.json go
+    /// Directory for report.md, its charts and figures.json
     #[arg(long)]
     out: Option<PathBuf>,
-    /// Prints figures.json instead of the table
+    /// Print figures.json instead of the table
     #[arg(long)]
     json: bool,
-    /// Names the scripts that ship
+    /// List the built-in scripts
     #[arg(long)]
     list: bool,
-    /// Days played side by side; as many as there are cores where it is not given
+    /// Number of concurrent runs [default: number of cores]
     #[arg(long)]
     threads: Option<usize>,
 }
@@ -46,7 +46,7 @@
 ///
 /// # Errors
 ///
-/// An invalid script or argument, or a report that cannot be written.
+/// The script or an argument is invalid, or the report cannot be written.
 pub fn run(arguments: &RehearseArgs) -> Result<Verdict, CommandError> {
     if arguments.list {
         list_scripts()?;
@@ -55,7 +55,7 @@
     let name = &arguments.policy;
     let policy = PolicyKind::from_name(name)
         .ok_or_else(|| CommandError::UnknownPolicy { name: name.clone() })?;
-    let script = scripts::read(arguments.script.as_deref())?;
+    let script = scripts::load(arguments.script.as_deref())?;
     let seeds = arguments.seed..arguments.seed + arguments.seeds.max(1);
     let runs: Vec<Run> = seeds
         .map(|seed| Run {
@@ -71,10 +71,10 @@
     } else {
         print_results(&results);
     }
-    if let Some(folder) = &arguments.out {
-        report::write(folder, &script, &results, &json).map_err(|source| {
+    if let Some(directory) = &arguments.out {
+        report::write(directory, &script, &results, &json).map_err(|source| {
             CommandError::UnwritableReport {
-                folder: folder.clone(),
+                directory: directory.clone(),
                 source,
             }
         })?;
@@ -85,13 +85,13 @@
 }
 
 fn list_scripts() -> Result<(), CommandError> {
-    for (name, _) in SHIPPED {
-        println!("{name:16} {}", scripts::shipped(name)?.about);
+    for (name, _) in BUILT_IN {
+        println!("{name:16} {}", scripts::built_in(name)?.about);
     }
     Ok(())
 }
 
-/// Prints the seconds of the first run and a summary of each.
+/// Prints the first run by second, and a summary of each run.
 fn print_results(results: &[RunResults]) {
     print!("{}", report::seconds_table(&results[0]));
     for run in results {
@@ -101,7 +101,7 @@
         let service: Vec<f64> = results.iter().map(|run| run.service).collect();
         let ConfidenceInterval { mean, half_width } = ConfidenceInterval::of(&service);
         println!(
-            "service over {} days: {mean:.2} ± {half_width:.2}",
+            "service over {} runs: {mean:.2} ± {half_width:.2}",
             results.len()
         );
     }
@@ -110,6 +110,6 @@
 fn print_violations(results: &[RunResults]) {
     let reports = results.iter().flat_map(|run| &run.violation_reports);
     for violation in reports.take(MAX_PRINTED_VIOLATIONS) {
-        eprintln!("broken: {violation}");
+        eprintln!("rule violated: {violation}");
     }
 }
--- a/scenarios/src/report/charts.rs
+++ b/scenarios/src/report/charts.rs
@@ -1,24 +1,24 @@
-//! Charts as SVG.
+//! SVG charts.
 
 use crate::error::ReportError;
 use plotters::coord::Shift;
 use plotters::prelude::*;
 use std::path::Path;
 
-/// Width and height.
+/// Width and height of a chart, in pixels.
 const SIZE: (u32, u32) = (900, 360);
-/// Room above the highest line, as a factor on it.
+/// Upper end of the y axis, as a multiple of the highest value.
 const HEADROOM: f64 = 1.05;
-/// Colours of the lines, in their order.
-const COLOURS: [&RGBColor; 4] = [&BLUE, &RED, &BLACK, &GREEN];
+/// Colours of the lines, in order.
+const LINE_COLOURS: [&RGBColor; 4] = [&BLUE, &RED, &BLACK, &GREEN];
 
 type Area<'a> = DrawingArea<SVGBackend<'a>, Shift>;
 
-/// A line with its name.
+/// The name of a line and its points.
 pub(super) type Line<'a> = (&'a str, Vec<(f64, f64)>);
 
-/// A white sheet with a title and room for axes.
-fn framed<'a, 'b>(
+/// A chart on a white background, with a title and space for axis labels.
+fn chart_builder<'a, 'b>(
     area: &'a Area<'b>,
     title: &str,
 ) -> Result<ChartBuilder<'a, 'b, SVGBackend<'b>>, ReportError> {
@@ -32,7 +32,7 @@
     Ok(chart)
 }
 
-/// Draws lines over the seconds of a run.
+/// Draws a line chart over the seconds of a run.
 pub(super) fn lines(
     path: &Path,
     title: &str,
@@ -43,16 +43,16 @@
     let highest = points().map(|point| point.1).fold(1.0_f64, f64::max) * HEADROOM;
     let end = points().map(|point| point.0).fold(1.0_f64, f64::max);
     let area = SVGBackend::new(path, SIZE).into_drawing_area();
-    let mut chart = framed(&area, title)?.build_cartesian_2d(0.0..end, 0.0..highest)?;
+    let mut chart = chart_builder(&area, title)?.build_cartesian_2d(0.0..end, 0.0..highest)?;
     chart
         .configure_mesh()
         .x_desc("second")
         .y_desc(unit)
         .draw()?;
-    for ((name, points), colour) in lines.iter().zip(COLOURS) {
+    for ((name, points), colour) in lines.iter().zip(LINE_COLOURS) {
         let series = chart.draw_series(LineSeries::new(points.iter().copied(), colour))?;
-        let key = move |(x, y)| PathElement::new(vec![(x, y), (x + 18, y)], *colour);
-        series.label(*name).legend(key);
+        let legend = move |(x, y)| PathElement::new(vec![(x, y), (x + 18, y)], *colour);
+        series.label(*name).legend(legend);
     }
     chart
         .configure_series_labels()
@@ -63,13 +63,13 @@
     Ok(())
 }
 
-/// Draws a bar for each endpoint.
+/// Draws a bar chart with one bar per endpoint.
 pub(super) fn bars(path: &Path, title: &str, counts: &[u64]) -> Result<(), ReportError> {
     let highest = counts.iter().copied().max().unwrap_or(1).max(1);
     let axis_end = highest + highest / 20 + 1;
     let area = SVGBackend::new(path, SIZE).into_drawing_area();
     let mut chart =
-        framed(&area, title)?.build_cartesian_2d(0..counts.len().max(1), 0..axis_end)?;
+        chart_builder(&area, title)?.build_cartesian_2d(0..counts.len().max(1), 0..axis_end)?;
     chart
         .configure_mesh()
         .disable_x_mesh()
--- a/scenarios/src/report/mod.rs
+++ b/scenarios/src/report/mod.rs
@@ -1,4 +1,4 @@
-//! The report of a script: report.md, its charts and figures.json.
+//! Reports of a script's runs: report.md, its charts and figures.json.
 
 mod charts;
 mod text;
@@ -11,7 +11,7 @@
 
 pub use text::{seconds_table, summary};
 
-/// File and title of each chart, in the order of the report.
+/// File name and title of each chart, in the order of the report.
 const CHARTS: [(&str, &str); 4] = [
     ("service", "Service"),
     ("refusals", "Refusals"),
@@ -19,63 +19,63 @@
     ("servers", "Servers"),
 ];
 
-/// Writes the report of a script's runs into a folder. The charts are those of the first run.
+/// Writes the report of a script's runs to a directory. The charts show the first run.
 ///
 /// # Errors
 ///
-/// A file that cannot be written, or a chart that cannot be drawn.
+/// A file cannot be written, or a chart cannot be drawn.
 pub fn write(
-    folder: &Path,
+    directory: &Path,
     script: &Script,
     results: &[RunResults],
     json: &str,
 ) -> Result<(), ReportError> {
-    std::fs::create_dir_all(folder)?;
-    std::fs::write(folder.join("figures.json"), json)?;
-    draw_charts(folder, &results[0])?;
-    std::fs::write(folder.join("report.md"), markdown(script, results))?;
+    std::fs::create_dir_all(directory)?;
+    std::fs::write(directory.join("figures.json"), json)?;
+    draw_charts(directory, &results[0])?;
+    std::fs::write(directory.join("report.md"), markdown(script, results))?;
     Ok(())
 }
 
-fn draw_charts(folder: &Path, run: &RunResults) -> Result<(), ReportError> {
-    let by_second = |value: fn(&SecondResults) -> f64| -> Vec<(f64, f64)> {
+fn draw_charts(directory: &Path, run: &RunResults) -> Result<(), ReportError> {
+    let per_second = |value: fn(&SecondResults) -> f64| -> Vec<(f64, f64)> {
         let seconds = run.seconds.iter();
         let points = seconds.map(|second| (second.second as f64, value(second)));
         points.collect()
     };
     charts::lines(
-        &folder.join("service.svg"),
+        &directory.join("service.svg"),
         "Service",
         "points of 100",
-        &[("service", by_second(|second| second.counts.service))],
+        &[("service", per_second(|second| second.counts.service))],
     )?;
     charts::lines(
-        &folder.join("refusals.svg"),
+        &directory.join("refusals.svg"),
         "Refused and failed",
         "% of what was wanted",
         &[
-            ("refused", by_second(rejected_percent)),
-            ("failed", by_second(failed_percent)),
+            ("refused", per_second(rejected_percent)),
+            ("failed", per_second(failed_percent)),
         ],
     )?;
     charts::lines(
-        &folder.join("latency.svg"),
+        &directory.join("latency.svg"),
         "Time from first try to ack",
         "ms",
         &[
-            ("p50", by_second(|second| second.p50_ms)),
-            ("p99", by_second(|second| second.p99_ms)),
+            ("p50", per_second(|second| second.p50_ms)),
+            ("p99", per_second(|second| second.p99_ms)),
         ],
     )?;
     charts::bars(
-        &folder.join("servers.svg"),
+        &directory.join("servers.svg"),
         "Pushes by server",
         &run.attempts_by_endpoint,
     )
 }
 
-fn percent(count: u64, of: u64) -> f64 {
-    100.0 * count as f64 / of.max(1) as f64
+fn percent(count: u64, total: u64) -> f64 {
+    100.0 * count as f64 / total.max(1) as f64
 }
 
 fn rejected_percent(second: &SecondResults) -> f64 {
--- a/scenarios/src/report/text.rs
+++ b/scenarios/src/report/text.rs
@@ -1,11 +1,11 @@
-//! Results as text.
+//! Results as plain text, for report.md and the terminal.
 
 use crankmux_simulator::invariants::RULES;
 use crankmux_simulator::results::{ClassResults, LatencyPercentiles, RunResults, SecondResults};
 use std::fmt::Write;
 
-/// What a violation of each rule is called.
-const VIOLATIONS: [&str; RULES] = [
+/// Label for violations of each rule, in the order of [`crankmux_simulator::invariants::Rule`].
+const VIOLATION_LABELS: [&str; RULES] = [
     "ops lost",
     "effects twice",
     "drains not kept",
@@ -13,7 +13,7 @@
     "ops sent on for nobody",
 ];
 
-/// A line for each second.
+/// Formats a table with one line per second.
 pub fn seconds_table(results: &RunResults) -> String {
     let mut text = String::from(
         "second  wanted  service  in time  late  refused  failed  tries  pushes    p50 ms    p99 ms\n",
@@ -43,7 +43,7 @@
     );
 }
 
-/// What one run came to.
+/// Formats the summary of one run.
 pub fn summary(results: &RunResults) -> String {
     let mut text = String::new();
     let worst = results.worst_second;
@@ -93,11 +93,11 @@
 }
 
 fn write_violations(text: &mut String, counts: [u64; RULES]) {
-    let violations: Vec<String> = VIOLATIONS
+    let violations: Vec<String> = VIOLATION_LABELS
         .iter()
         .zip(counts)
         .filter(|(_, count)| *count > 0)
-        .map(|(violation, count)| format!("{count} {violation}"))
+        .map(|(label, count)| format!("{count} {label}"))
         .collect();
     if violations.is_empty() {
         let _ = writeln!(text, "  rules kept");
--- a/scenarios/src/runs.rs
+++ b/scenarios/src/runs.rs
@@ -1,4 +1,4 @@
-//! Runs of scripts in simulation, several at a time.
+//! Parallel simulation runs.
 
 use crankmux_simulator::environment;
 use crankmux_simulator::policies::{PolicyError, PolicyKind};
@@ -8,24 +8,25 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::{Mutex, PoisonError};
 
-const PROGRESS: &str = "{bar:40} {pos}/{len} days  {elapsed} of about {duration}";
+/// Template of the progress bar.
+const PROGRESS_TEMPLATE: &str = "{bar:40} {pos}/{len} runs  {elapsed} of about {duration}";
 
-/// One run to be done.
+/// A simulation run.
 #[derive(Clone, Copy)]
 pub struct Run<'a> {
-    /// The script.
+    /// Script to run.
     pub script: &'a Script,
-    /// The policy of its proxies.
+    /// Policy of the proxies.
     pub policy: PolicyKind,
-    /// The seed.
+    /// Seed of the random streams.
     pub seed: u64,
 }
 
-/// Does all runs on so many threads, or one for each core. The results are in the order of the runs.
+/// Executes all runs on the given number of threads, by default one per core. Results are in the order of the runs.
 ///
 /// # Errors
 ///
-/// A policy that cannot be made from the script's settings.
+/// The settings derived from a script are invalid.
 pub fn run_all(runs: &[Run], threads: Option<usize>) -> Result<Vec<RunResults>, PolicyError> {
     let cores = std::thread::available_parallelism().map_or(1, usize::from);
     let threads = threads.unwrap_or(cores).clamp(1, runs.len().max(1));
@@ -54,7 +55,7 @@
 
 fn progress_bar(runs: usize) -> ProgressBar {
     let bar = ProgressBar::new(runs as u64);
-    if let Ok(style) = ProgressStyle::with_template(PROGRESS) {
+    if let Ok(style) = ProgressStyle::with_template(PROGRESS_TEMPLATE) {
         bar.set_style(style);
     }
     bar
--- a/scenarios/src/scripts.rs
+++ b/scenarios/src/scripts.rs
@@ -1,17 +1,17 @@
-//! The scripts that ship, and reading one from a file.
+//! The built-in simulator scripts, and loading a script from a file.
 
 use crate::error::CommandError;
 use crankmux_simulator::script::Script;
 use std::path::Path;
 
-macro_rules! shipped_scripts {
+macro_rules! include_scripts {
     ($($name:literal),* $(,)?) => {
         &[$(($name, include_str!(concat!("../scripts/", $name, ".toml")))),*]
     };
 }
 
-/// Name and text of each script that ships; the first is the default.
-pub const SHIPPED: &[(&str, &str)] = shipped_scripts![
+/// Name and text of each built-in script; the first is the default.
+pub const BUILT_IN: &[(&str, &str)] = include_scripts![
     "saturday",
     "release",
     "metastable",
@@ -24,20 +24,20 @@
     "quiet-nodes",
 ];
 
-/// Reads a script by its file or by the name of one that ships; the default where none is given. A file comes before
-/// a shipped script of the same name.
+/// Loads a script by path or built-in name, or the default script. A file takes precedence over a built-in script of
+/// the same name.
 ///
 /// # Errors
 ///
-/// A file that cannot be read, or an invalid script.
-pub fn read(file_or_name: Option<&Path>) -> Result<Script, CommandError> {
-    let Some(path) = file_or_name else {
-        return shipped(SHIPPED[0].0);
+/// The file cannot be read, or the script is invalid.
+pub fn load(path_or_name: Option<&Path>) -> Result<Script, CommandError> {
+    let Some(path) = path_or_name else {
+        return built_in(BUILT_IN[0].0);
     };
     let name = path.to_string_lossy();
-    let ships = SHIPPED.iter().any(|(shipped, _)| *shipped == name);
-    if ships && !path.exists() {
-        return shipped(&name);
+    let is_built_in = BUILT_IN.iter().any(|(built_in, _)| *built_in == name);
+    if is_built_in && !path.exists() {
+        return built_in(&name);
     }
     let text = std::fs::read_to_string(path).map_err(|source| CommandError::UnreadableScript {
         path: name.to_string(),
@@ -46,13 +46,13 @@
     parse(&name, &text)
 }
 
-/// The script of this name that ships.
+/// Loads a built-in script by name.
 ///
 /// # Errors
 ///
-/// No script has this name.
-pub fn shipped(name: &str) -> Result<Script, CommandError> {
-    let found = SHIPPED.iter().find(|(shipped, _)| *shipped == name);
+/// No built-in script has this name.
+pub fn built_in(name: &str) -> Result<Script, CommandError> {
+    let found = BUILT_IN.iter().find(|(built_in, _)| *built_in == name);
     let Some((_, text)) = found else {
         return Err(CommandError::UnknownScript {
             name: name.to_string(),
--- a/scenarios/src/soak.rs
+++ b/scenarios/src/soak.rs
@@ -1,4 +1,4 @@
-//! `soak`: runs of several proxy processes that are reloaded, restarted and upgraded under load, one for each seed.
+//! The `soak` command: reloads, restarts and upgrades several proxy processes under load, in one run per seed.
 
 use crate::cli::Verdict;
 use crate::cluster::find_program;
@@ -12,35 +12,35 @@
 const FAILURE: u8 = 1;
 const WRONG_ARGUMENT: u8 = 2;
 
-/// The arguments of `soak`.
+/// Arguments of `soak`.
 #[derive(clap::Args)]
 pub struct SoakArgs {
-    /// The seeds, as A..B with both included, or a single one
+    /// Inclusive range of seeds, A..B, or a single seed
     #[arg(long)]
     seeds: Seeds,
-    /// Where the logs of runs that broke something go, and the proxies' files while they run
+    /// Directory for the logs of failed runs, and for the proxies' files during a run
     #[arg(long, default_value = "soak-out")]
     out: PathBuf,
-    /// So many runs at once
+    /// Number of concurrent runs
     #[arg(long, default_value_t = 1, value_parser = clap::value_parser!(u64).range(1..=32))]
     jobs: u64,
-    /// The proxy's program; else the one beside this
+    /// Path of the proxy program [default: crankmux in the directory of this program]
     #[arg(long)]
     program: Option<PathBuf>,
 }
 
-/// A range of seeds, both ends included.
+/// An inclusive range of seeds.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Seeds(RangeInclusive<u64>);
 
-/// Why a text is no range of seeds.
+/// Errors of parsing a range of seeds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum SeedsError {
-    /// One of its ends is no number.
-    #[error("seeds are whole numbers: A..B, or a single one")]
+    /// A bound is not a whole number.
+    #[error("seeds must be whole numbers: A..B or a single seed")]
     NotNumbers,
-    /// There is no seed in it.
-    #[error("the first seed is above the last")]
+    /// The range contains no seed.
+    #[error("the first seed is greater than the last")]
     Empty,
 }
 
@@ -49,9 +49,9 @@
 
     fn from_str(text: &str) -> Result<Self, SeedsError> {
         let (first, last) = text.split_once("..").unwrap_or((text, text));
-        let number = |end: &str| end.parse().map_err(|_| SeedsError::NotNumbers);
-        let first: u64 = number(first)?;
-        let last: u64 = number(last)?;
+        let parse_bound = |bound: &str| bound.parse().map_err(|_| SeedsError::NotNumbers);
+        let first: u64 = parse_bound(first)?;
+        let last: u64 = parse_bound(last)?;
         if first > last {
             return Err(SeedsError::Empty);
         }
@@ -59,96 +59,104 @@
     }
 }
 
-/// Why runs were not carried out.
+/// Errors of the `soak` command.
 #[derive(Debug, thiserror::Error)]
 pub enum SoakCommandError {
-    /// There is no program of a proxy.
-    #[error("{}: no program there; cargo build --release makes it", .0.display())]
-    NoProgram(PathBuf),
-    /// A run could not be carried out.
+    /// The proxy program does not exist.
+    #[error("{}: proxy program not found; build it with `cargo build --release`", .0.display())]
+    ProgramNotFound(PathBuf),
+    /// A run could not be executed.
     #[error("seed {seed}: {source}")]
     Run {
-        /// The seed of the run.
+        /// Seed of the run.
         seed: u64,
-        /// Why.
+        /// Cause of the failure.
         source: SoakError,
     },
-    /// Logs cannot be written.
+    /// A log cannot be written.
     #[error(transparent)]
     Write(#[from] std::io::Error),
 }
 
 impl SoakCommandError {
-    /// The exit code of the program.
+    /// Exit code of the program for this error.
     pub fn exit_code(&self) -> u8 {
         match self {
-            SoakCommandError::NoProgram(_) => WRONG_ARGUMENT,
+            SoakCommandError::ProgramNotFound(_) => WRONG_ARGUMENT,
             SoakCommandError::Run { .. } | SoakCommandError::Write(_) => FAILURE,
         }
     }
 }
 
-/// Carries out the runs, and prints what each came to.
+/// Executes the runs and prints a summary of each.
 ///
 /// # Errors
 ///
-/// No program of a proxy, a run that could not be carried out, or logs that cannot be written.
+/// The proxy program does not exist, a run cannot be executed, or a log cannot be written.
 pub fn run(args: &SoakArgs) -> Result<Verdict, SoakCommandError> {
-    let program = find_program(args.program.as_deref()).map_err(SoakCommandError::NoProgram)?;
-    let broken = run_seeds(args, &program)?;
-    let seeds = args.seeds.0.clone().count();
-    let numbers: Vec<String> = broken.iter().map(u64::to_string).collect();
-    if let Some(first) = numbers.first() {
-        println!("again: crankmux-scenarios soak --seeds {first}");
+    let program =
+        find_program(args.program.as_deref()).map_err(SoakCommandError::ProgramNotFound)?;
+    let failed_seeds = run_seeds(args, &program)?;
+    let seed_count = args.seeds.0.clone().count();
+    let failed: Vec<String> = failed_seeds.iter().map(u64::to_string).collect();
+    if let Some(first) = failed.first() {
+        println!("to reproduce: crankmux-scenarios soak --seeds {first}");
     }
     println!(
-        "soak: {seeds} seeds, {} broke something: {}",
-        numbers.len(),
-        numbers.join(", ")
+        "soak: {seed_count} seeds, {} failed: {}",
+        failed.len(),
+        failed.join(", ")
     );
-    Ok(Verdict::from_kept(broken.is_empty()))
+    Ok(Verdict::from_kept(failed_seeds.is_empty()))
 }
 
-/// Runs all seeds, several at once, and returns those that broke something in the order of their numbers.
+/// Runs all seeds concurrently and returns those whose run had findings, in ascending order.
 fn run_seeds(args: &SoakArgs, program: &Path) -> Result<Vec<u64>, SoakCommandError> {
     let next_seed = AtomicU64::new(*args.seeds.0.start());
-    let broken = Mutex::new(Vec::new());
-    let work = || -> Result<(), SoakCommandError> {
+    let failed_seeds = Mutex::new(Vec::new());
+    let run_next_seeds = || -> Result<(), SoakCommandError> {
         loop {
             let seed = next_seed.fetch_add(1, Ordering::SeqCst);
             if seed > *args.seeds.0.end() {
                 return Ok(());
             }
             if !run_seed(seed, program, &args.out)? {
-                broken.lock().expect("no run panics with it").push(seed);
+                failed_seeds
+                    .lock()
+                    .expect("no worker panics while it holds the lock")
+                    .push(seed);
             }
         }
     };
     std::thread::scope(|scope| {
-        let workers: Vec<_> = (0..args.jobs).map(|_| scope.spawn(work)).collect();
+        let workers: Vec<_> = (0..args.jobs)
+            .map(|_| scope.spawn(run_next_seeds))
+            .collect();
         for worker in workers {
-            worker.join().expect("no run panics")?;
+            worker.join().expect("no worker panics")?;
         }
         Ok::<(), SoakCommandError>(())
     })?;
-    let mut broken = broken.into_inner().expect("no run panics with it");
-    broken.sort_unstable();
-    Ok(broken)
+    let mut failed_seeds = failed_seeds
+        .into_inner()
+        .expect("no worker panics while it holds the lock");
+    failed_seeds.sort_unstable();
+    Ok(failed_seeds)
 }
 
-/// Runs one seed; whether nothing was broken.
+/// Runs one seed and returns whether the run had no findings.
 fn run_seed(seed: u64, program: &Path, out: &Path) -> Result<bool, SoakCommandError> {
-    let folder = out.join(format!("run-{seed}"));
-    let report = run_soak(seed, program.to_path_buf(), folder)
+    let directory = out.join(format!("run-{seed}"));
+    let report = run_soak(seed, program.to_path_buf(), directory)
         .map_err(|source| SoakCommandError::Run { seed, source })?;
-    print(&report);
+    print_summary(&report);
     if !report.findings.is_empty() {
         write_logs(&report, out)?;
     }
     Ok(report.findings.is_empty())
 }
 
-fn print(report: &SoakReport) {
+fn print_summary(report: &SoakReport) {
     let service = &report.service;
     println!(
         "seed {} ({}): requests {}, succeeded {}, rejected {}, failed {}, calls confirmed {}, findings {}",
--- a/scenarios/src/tables.rs
+++ b/scenarios/src/tables.rs
@@ -1,64 +1,68 @@
-//! Tables over many runs: scripts by policies, and faults by pairs.
+//! The `table` and `pairs` commands: tables of scripts by policy, and of pairs of faults.
 
 use crate::cli::Verdict;
 use crate::error::CommandError;
 use crate::runs::{run_all, Run};
-use crate::scripts::{self, SHIPPED};
+use crate::scripts::{self, BUILT_IN};
 use crate::statistics::ConfidenceInterval;
 use crankmux_simulator::policies::PolicyKind;
 use crankmux_simulator::results::RunResults;
 use crankmux_simulator::script::{Fault, FaultKind, Script};
 
-/// The script on which pairs of faults are run, and for how long.
+/// Base script of the pairs of faults.
 const PAIRS_SCRIPT: &str = "saturday";
+/// Duration of a run with a pair of faults.
 const PAIRS_DURATION_S: f64 = 30.0;
-/// When the first fault of a pair begins, and how long each lasts.
+/// Start of the first fault of a pair.
 const FAULT_START_S: f64 = 8.0;
+/// Duration of each fault.
 const FAULT_DURATION_S: f64 = 10.0;
-/// The second fault of a pair begins so much later, while the first goes on.
+/// Delay of the second fault of a pair; the first is still active then.
 const SECOND_FAULT_DELAY_S: f64 = 4.0;
 
-/// The arguments of `table`.
+/// Arguments of `table`.
 #[derive(clap::Args)]
 pub struct TableArgs {
-    /// Days of each, from seed 1 on
+    /// Number of runs per script and policy, with seeds from 1
     #[arg(long, default_value_t = 3, value_parser = clap::value_parser!(u64).range(1..))]
     seeds: u64,
+    /// Number of concurrent runs [default: number of cores]
     #[arg(long)]
     threads: Option<usize>,
-    /// Only this script
+    /// Run only this script
     #[arg(long)]
     only: Option<String>,
 }
 
-/// The arguments of `pairs`.
+/// Arguments of `pairs`.
 #[derive(clap::Args)]
 pub struct PairsArgs {
-    /// Days of each pair, from seed 1 on
+    /// Number of runs per pair, with seeds from 1
     #[arg(long, default_value_t = 2, value_parser = clap::value_parser!(u64).range(1..))]
     seeds: u64,
+    /// Number of concurrent runs [default: number of cores]
     #[arg(long)]
     threads: Option<usize>,
 }
 
-/// What the runs of one cell came to.
+/// A table cell: the results of its runs.
 struct Cell {
     service: ConfidenceInterval,
-    rules_broken: bool,
+    violated: bool,
 }
 
 impl Cell {
-    fn of(results: &[RunResults]) -> Self {
+    fn from_results(results: &[RunResults]) -> Self {
         let service: Vec<f64> = results.iter().map(|run| run.service).collect();
         Cell {
             service: ConfidenceInterval::of(&service),
-            rules_broken: results.iter().flat_map(|run| run.violations).sum::<u64>() > 0,
+            violated: results.iter().flat_map(|run| run.violations).sum::<u64>() > 0,
         }
     }
 
-    /// Marks a cell in which a rule was broken.
-    fn star(&self) -> &'static str {
-        if self.rules_broken {
+    /// An asterisk if a rule was violated.
+    fn violation_mark(&self) -> &'static str {
+        if self.violated {
             "*"
         } else {
             ""
@@ -66,45 +70,50 @@
     }
 }
 
-/// Prints a row for each script: the service of each policy, with a star where it broke a rule, and the score of the
-/// module, which is 0 for random choice and 1 for the policy that sees the true state.
+/// Prints a row per script with the service of each policy, marked with an asterisk if it violated a rule, and the
+/// score of the dispatcher, on a scale from 0 for random choice to 1 for the oracle.
 ///
 /// # Errors
 ///
-/// A policy that cannot be made from a script's settings.
+/// A script is invalid, or the settings derived from it are.
 pub fn compare_policies(arguments: &TableArgs) -> Result<Verdict, CommandError> {
     let policies = PolicyKind::ALL.map(PolicyKind::name);
     println!("| script | {} | score |", policies.join(" | "));
     println!("| --- |{}", " --- |".repeat(policies.len() + 1));
     let mut kept = true;
-    for (name, _) in SHIPPED {
+    for (name, _) in BUILT_IN {
         if arguments.only.as_ref().is_some_and(|only| only != name) {
             continue;
         }
-        let cells = policy_cells(&scripts::shipped(name)?, arguments)?;
+        let cells = policy_cells(&scripts::built_in(name)?, arguments)?;
         kept &= cells
             .iter()
-            .all(|(policy, cell)| *policy != PolicyKind::Dispatcher || !cell.rules_broken);
+            .all(|(policy, cell)| *policy != PolicyKind::Dispatcher || !cell.violated);
         print_policies(name, &cells);
     }
     Ok(Verdict::from_kept(kept))
 }
 
-/// Runs a script by each policy.
+/// Runs a script with each policy.
 fn policy_cells(
     script: &Script,
     arguments: &TableArgs,
 ) -> Result<Vec<(PolicyKind, Cell)>, CommandError> {
-    let of_policy = |policy| {
+    let runs_of_policy = |policy| {
         (1..=arguments.seeds).map(move |seed| Run {
             script,
             policy,
             seed,
         })
     };
-    let runs: Vec<Run> = PolicyKind::ALL.into_iter().flat_map(of_policy).collect();
+    let runs: Vec<Run> = PolicyKind::ALL
+        .into_iter()
+        .flat_map(runs_of_policy)
+        .collect();
     let results = run_all(&runs, arguments.threads)?;
-    let cells = results.chunks(arguments.seeds as usize).map(Cell::of);
+    let cells = results
+        .chunks(arguments.seeds as usize)
+        .map(Cell::from_results);
     Ok(PolicyKind::ALL.into_iter().zip(cells).collect())
 }
 
@@ -113,24 +122,24 @@
         .iter()
         .map(|(_, cell)| {
             let ConfidenceInterval { mean, half_width } = cell.service;
-            format!("{mean:.1} ± {half_width:.1}{}", cell.star())
+            format!("{mean:.1} ± {half_width:.1}{}", cell.violation_mark())
         })
         .collect();
     let mean = |kind: PolicyKind| {
         let found = cells.iter().find(|(policy, _)| *policy == kind);
         found.map_or(0.0, |(_, cell)| cell.service.mean)
     };
-    let module = mean(PolicyKind::Dispatcher);
+    let dispatcher = mean(PolicyKind::Dispatcher);
     let random = mean(PolicyKind::Random);
-    let omniscient = mean(PolicyKind::Oracle);
+    let oracle = mean(PolicyKind::Oracle);
     println!(
         "| {name} | {} | {:.2} |",
         texts.join(" | "),
-        (module - random) / (omniscient - random).max(1e-9)
+        (dispatcher - random) / (oracle - random).max(1e-9)
     );
 }
 
-/// The faults whose pairs are run, with their names.
+/// The faults that are combined into pairs, with their names.
 fn paired_faults() -> Vec<(&'static str, Fault)> {
     let fault = |kind, strength, fraction| Fault {
         kind,
@@ -157,7 +166,7 @@
     ]
 }
 
-/// A script for each pair of faults, by row and then by column; on the diagonal a fault is alone.
+/// Builds a script per pair of faults, in row-major order; the scripts on the diagonal have a single fault.
 fn pair_scripts(base: &Script, faults: &[(&str, Fault)]) -> Vec<Script> {
     let mut scripts = Vec::new();
     for (row, (_, first)) in faults.iter().enumerate() {
@@ -179,29 +188,30 @@
     scripts
 }
 
-/// Prints a row and a column for each fault: the service by the module, with a star where it broke a rule.
+/// Prints a row and a column per fault, with the service of the dispatcher, marked with an asterisk if it violated a
+/// rule.
 ///
 /// # Errors
 ///
-/// A policy that cannot be made from the script's settings.
+/// A script is invalid, or the settings derived from it are.
 pub fn compare_fault_pairs(arguments: &PairsArgs) -> Result<Verdict, CommandError> {
     let faults = paired_faults();
-    let scripts = pair_scripts(&scripts::shipped(PAIRS_SCRIPT)?, &faults);
-    let of_script = |script| {
+    let scripts = pair_scripts(&scripts::built_in(PAIRS_SCRIPT)?, &faults);
+    let runs_of_script = |script| {
         (1..=arguments.seeds).map(move |seed| Run {
             script,
             policy: PolicyKind::Dispatcher,
             seed,
         })
     };
-    let runs: Vec<Run> = scripts.iter().flat_map(of_script).collect();
+    let runs: Vec<Run> = scripts.iter().flat_map(runs_of_script).collect();
     let results = run_all(&runs, arguments.threads)?;
     let cells: Vec<Cell> = results
         .chunks(arguments.seeds as usize)
-        .map(Cell::of)
+        .map(Cell::from_results)
         .collect();
     print_pairs(&faults, &cells);
-    let kept = cells.iter().all(|cell| !cell.rules_broken);
+    let kept = cells.iter().all(|cell| !cell.violated);
     Ok(Verdict::from_kept(kept))
 }
 
@@ -213,7 +223,7 @@
     for (row, name) in names.iter().enumerate() {
         let mut texts = vec![String::new(); row];
         for cell in cells.by_ref().take(names.len() - row) {
-            texts.push(format!("{:.1}{}", cell.service.mean, cell.star()));
+            texts.push(format!("{:.1}{}", cell.service.mean, cell.violation_mark()));
         }
         println!("| {name} | {} |", texts.join(" | "));
     }
--- a/scenarios/tests/arguments.rs
+++ b/scenarios/tests/arguments.rs
@@ -38,7 +38,7 @@
     assert_refused(&["soak"], "--seeds");
     assert_refused(
         &["soak", "--seeds", "5..2"],
-        "the first seed is above the last",
+        "the first seed is greater than the last",
     );
     assert_refused(&["soak", "--seeds", "a..b"], "whole numbers");
     assert_refused(
--- a/scenarios/tests/cluster.rs
+++ b/scenarios/tests/cluster.rs
@@ -1,6 +1,6 @@
 //! The scripts of clusters that ship, and the sub-command that runs them.
 
-use crankmux_scenarios::cluster::scripts::{self, SHIPPED};
+use crankmux_scenarios::cluster::scripts::{self, BUILT_IN};
 use crankmux_simulator::script::Script;
 use std::path::Path;
 use std::process::{Command, Output};
@@ -22,19 +22,19 @@
 
 #[test]
 fn every_script_that_ships_is_valid_and_names_an_environment_that_ships() {
-    for (name, _) in SHIPPED {
-        let script = scripts::read(Some(Path::new(name))).unwrap_or_else(|error| panic!("{error}"));
+    for (name, _) in BUILT_IN {
+        let script = scripts::load(Some(Path::new(name))).unwrap_or_else(|error| panic!("{error}"));
         assert_eq!(script.name, *name);
         assert!(!script.about.is_empty(), "{name}");
         assert!(!script.faults.is_empty(), "{name}");
-        let environment = scripts::shipped_environment(&script.environment).expect(name);
+        let environment = scripts::built_in_environment(&script.environment).expect(name);
         assert!(Script::read(environment).is_ok(), "{name}");
     }
 }
 
 #[test]
 fn a_script_that_does_not_exist_is_a_wrong_argument() {
-    assert!(scripts::read(Some(Path::new("unheard-of"))).is_err());
+    assert!(scripts::load(Some(Path::new("unheard-of"))).is_err());
     let output = run_without_program("cluster", "unheard-of");
     assert_eq!(output.status.code(), Some(2));
     assert!(stderr(&output).starts_with("crankmux-scenarios: unheard-of: "));
@@ -46,7 +46,7 @@
     assert_eq!(output.status.code(), Some(2));
     assert_eq!(
         stderr(&output),
-        "crankmux-scenarios: /no/such/program: no program there; cargo build --release makes it\n"
+        "crankmux-scenarios: /no/such/program: proxy program not found; build it with `cargo build --release`\n"
     );
 }
 
--- a/scenarios/tests/rehearse.rs
+++ b/scenarios/tests/rehearse.rs
@@ -1,13 +1,13 @@
 //! Shipped scripts in virtual time: the rules are kept, and runs can be reproduced.
 
 use crankmux_scenarios::runs::{run_all, Run};
-use crankmux_scenarios::scripts::shipped;
+use crankmux_scenarios::scripts::built_in;
 use crankmux_simulator::policies::PolicyKind;
 use crankmux_simulator::script::{Load, Script};
 
 /// A shipped script, shortened and with little load.
 fn small(name: &str, duration_s: f64, capacity_fraction: f64) -> Script {
-    let script = shipped(name).expect("it ships");
+    let script = built_in(name).expect("it ships");
     let load = Load {
         capacity_fraction: Some(capacity_fraction),
         ..script.load.clone()
