--- a/scenarios/tests/arguments.rs
+++ b/scenarios/tests/arguments.rs
@@ -1,12 +1,12 @@
-//! Arguments that cannot be meant are refused by name, with the exit code of a wrong argument.
+//! Invalid arguments are reported by name, with exit code 2.
 
 use std::process::{Command, Output};
 
-/// Exit code of a wrong argument.
-const WRONG_ARGUMENT: i32 = 2;
+/// Exit code for an invalid argument.
+const INVALID_ARGUMENT: i32 = 2;
 
 fn run(arguments: &[&str]) -> Output {
-    // These tests have to start the program; the proxy, for which the method is disallowed, starts nothing.
+    // `Command::new` is disallowed for the proxy, which must not start processes; this test has to.
     #[allow(clippy::disallowed_methods)]
     let mut command = Command::new(env!("CARGO_BIN_EXE_crankmux-scenarios"));
     command
@@ -15,33 +15,33 @@
         .expect("the program starts")
 }
 
-fn assert_refused(arguments: &[&str], named: &str) {
+fn assert_invalid(arguments: &[&str], expected: &str) {
     let output = run(arguments);
     let message = String::from_utf8_lossy(&output.stderr);
     assert_eq!(
         output.status.code(),
-        Some(WRONG_ARGUMENT),
+        Some(INVALID_ARGUMENT),
         "{arguments:?}: {message}"
     );
-    assert!(message.contains(named), "{arguments:?}: {message}");
+    assert!(message.contains(expected), "{arguments:?}: {message}");
 }
 
-/// `table --seeds 0` panicked as it divided the runs by the number of seeds.
+/// Regression test: `table --seeds 0` panicked in a division by the number of seeds.
 #[test]
-fn tables_over_no_seed_are_refused() {
-    assert_refused(&["table", "--seeds", "0"], "--seeds");
-    assert_refused(&["pairs", "--seeds", "0"], "--seeds");
+fn tables_without_seeds_are_rejected() {
+    assert_invalid(&["table", "--seeds", "0"], "--seeds");
+    assert_invalid(&["pairs", "--seeds", "0"], "--seeds");
 }
 
 #[test]
-fn a_soak_over_no_seed_or_without_a_program_is_refused() {
-    assert_refused(&["soak"], "--seeds");
-    assert_refused(
+fn a_soak_without_seeds_or_without_a_program_is_rejected() {
+    assert_invalid(&["soak"], "--seeds");
+    assert_invalid(
         &["soak", "--seeds", "5..2"],
         "the first seed is greater than the last",
     );
-    assert_refused(&["soak", "--seeds", "a..b"], "whole numbers");
-    assert_refused(
+    assert_invalid(&["soak", "--seeds", "a..b"], "whole numbers");
+    assert_invalid(
         &["soak", "--seeds", "1", "--program", "/no/such/program"],
         "/no/such/program",
     );
--- a/scenarios/tests/cluster.rs
+++ b/scenarios/tests/cluster.rs
@@ -1,17 +1,17 @@
-//! The scripts of clusters that ship, and the sub-command that runs them.
+//! The built-in cluster scripts, and the `cluster` subcommand.
 
 use crankmux_scenarios::cluster::scripts::{self, BUILT_IN};
 use crankmux_simulator::script::Script;
 use std::path::Path;
 use std::process::{Command, Output};
 
-/// Runs a sub-command with a program that does not exist, so that no process is started.
-fn run_without_program(sub_command: &str, script: &str) -> Output {
-    // These tests have to start the program; the proxy, for which the method is disallowed, starts nothing.
+/// Runs a subcommand with a proxy program that does not exist, so that no proxy is started.
+fn run_without_program(subcommand: &str, script: &str) -> Output {
+    // `Command::new` is disallowed for the proxy, which must not start processes; this test has to.
     #[allow(clippy::disallowed_methods)]
     let mut command = Command::new(env!("CARGO_BIN_EXE_crankmux-scenarios"));
     command
-        .args([sub_command, script, "--program", "/no/such/program"])
+        .args([subcommand, script, "--program", "/no/such/program"])
         .output()
         .expect("the program starts")
 }
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn every_script_that_ships_is_valid_and_names_an_environment_that_ships() {
+fn every_built_in_script_is_valid_and_names_a_built_in_environment() {
     for (name, _) in BUILT_IN {
         let script = scripts::load(Some(Path::new(name))).unwrap_or_else(|error| panic!("{error}"));
         assert_eq!(script.name, *name);
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn a_script_that_does_not_exist_is_a_wrong_argument() {
+fn an_unknown_script_is_an_invalid_argument() {
     assert!(scripts::load(Some(Path::new("unheard-of"))).is_err());
     let output = run_without_program("cluster", "unheard-of");
     assert_eq!(output.status.code(), Some(2));
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn a_program_that_does_not_exist_is_a_wrong_argument() {
+fn a_missing_proxy_program_is_an_invalid_argument() {
     let output = run_without_program("cluster", "five");
     assert_eq!(output.status.code(), Some(2));
     assert_eq!(
@@ -51,11 +51,11 @@
 }
 
 #[test]
-fn the_former_name_of_the_sub_command_works_and_is_said_to_be_deprecated() {
+fn the_deprecated_alias_of_the_subcommand_works_and_prints_a_warning() {
     let current = run_without_program("cluster", "five");
-    let former = run_without_program("fleet", "five");
-    assert_eq!(former.status.code(), current.status.code());
+    let alias = run_without_program("fleet", "five");
+    assert_eq!(alias.status.code(), current.status.code());
     assert!(!stderr(&current).contains("deprecated"));
-    let deprecation = "crankmux-scenarios: `fleet` is deprecated; use `cluster`\n";
-    assert_eq!(stderr(&former), deprecation.to_string() + &stderr(&current));
+    let warning = "crankmux-scenarios: `fleet` is deprecated; use `cluster`\n";
+    assert_eq!(stderr(&alias), warning.to_string() + &stderr(&current));
 }
--- a/scenarios/tests/rehearse.rs
+++ b/scenarios/tests/rehearse.rs
@@ -1,13 +1,13 @@
-//! Shipped scripts in virtual time: the rules are kept, and runs can be reproduced.
+//! Simulated runs of built-in scripts: no rule is violated, and results are reproducible.
 
 use crankmux_scenarios::runs::{run_all, Run};
 use crankmux_scenarios::scripts::built_in;
 use crankmux_simulator::policies::PolicyKind;
 use crankmux_simulator::script::{Load, Script};
 
-/// A shipped script, shortened and with little load.
-fn small(name: &str, duration_s: f64, capacity_fraction: f64) -> Script {
-    let script = built_in(name).expect("it ships");
+/// A built-in script with a shorter duration and less load.
+fn scaled_down(name: &str, duration_s: f64, capacity_fraction: f64) -> Script {
+    let script = built_in(name).expect("a built-in script");
     let load = Load {
         capacity_fraction: Some(capacity_fraction),
         ..script.load.clone()
@@ -28,13 +28,13 @@
 }
 
 #[test]
-fn the_module_keeps_the_rules_under_three_shipped_scripts() {
-    for (name, least_service) in [
+fn the_dispatcher_keeps_the_rules_in_three_built_in_scripts() {
+    for (name, min_service) in [
         ("release", 60.0),
         ("three-troubles", 60.0),
         ("mass-restart", 60.0),
     ] {
-        let script = small(name, 22.0, 0.15);
+        let script = scaled_down(name, 22.0, 0.15);
         let results = run_all(&[run(&script, 2)], Some(1)).expect("a valid policy");
         let results = &results[0];
         assert_eq!(
@@ -44,7 +44,7 @@
             results.violation_reports.first()
         );
         assert!(
-            results.totals.calls > 2000 && results.service > least_service,
+            results.totals.calls > 2000 && results.service > min_service,
             "{name}: {}",
             results.service
         );
@@ -52,10 +52,10 @@
 }
 
 #[test]
-fn the_same_seeds_give_the_same_bytes_on_any_number_of_threads() {
+fn results_do_not_depend_on_the_number_of_threads() {
     let script = Script {
         proxies: 6,
-        ..small("three-troubles", 16.0, 0.08)
+        ..scaled_down("three-troubles", 16.0, 0.08)
     };
     let runs: Vec<Run> = (1..4).map(|seed| run(&script, seed)).collect();
     let bytes = |threads| {
--- a/simulator/benches/events.rs
+++ b/simulator/benches/events.rs
@@ -1,11 +1,11 @@
-//! Events a second on one core: `cargo bench -p crankmux-simulator`.
+//! Simulated events per second on one core: `cargo bench -p crankmux-simulator`.
 
 use crankmux_simulator::environment::run;
 use crankmux_simulator::policies::PolicyKind;
 use crankmux_simulator::script::Script;
 use criterion::{criterion_group, criterion_main, Criterion, Throughput};
 
-const TEXT: &str = r#"
+const SCRIPT: &str = r#"
 name = "bench"
 seconds = 10
 nodes = 30
@@ -24,7 +24,7 @@
 "#;
 
 fn events(criterion: &mut Criterion) {
-    let script = Script::read(TEXT).expect("a valid script");
+    let script = Script::read(SCRIPT).expect("a valid script");
     let mut group = criterion.benchmark_group("events");
     group.sample_size(10);
     for kind in [PolicyKind::Random, PolicyKind::Dispatcher] {
--- a/simulator/tests/common/mod.rs
+++ b/simulator/tests/common/mod.rs
@@ -1,7 +1,7 @@
-//! The script that several tests start from.
+//! A small script shared by several tests.
 
-/// A small environment; `more` is added at its end.
-pub(crate) fn text(more: &str) -> String {
+/// Text of a small valid script, followed by `extra`.
+pub(crate) fn script_text(extra: &str) -> String {
     format!(
         r#"
 name = "small"
@@ -46,12 +46,12 @@
 [load]
 share = 0.4
 
-{more}"#
+{extra}"#
     )
 }
 
-/// Half of the endpoints are replaced.
+/// A fault that replaces half of the endpoints.
 pub(crate) const RELEASE: &str = "[[faults]]\nkind = \"release\"\nat = 3\nfor = 4\npart = 0.5\n";
-/// A fifth of the responses are lost.
+/// A fault that loses a fifth of the responses.
 pub(crate) const RESPONSES_LOST: &str =
     "[[faults]]\nkind = \"answers-lost\"\nat = 3\nfor = 8\nstrength = 0.2\n";
--- a/simulator/tests/endpoint.rs
+++ b/simulator/tests/endpoint.rs
@@ -1,13 +1,13 @@
-//! One endpoint: its queue, degradation, pauses, cancellation, load reports and slow start.
+//! The simulated endpoint: queue, degradation, pauses, cancellation, load reports and slow start.
 
 use crankmux_simulator::endpoint::{Completion, Dequeued, Endpoint, Job, ReportedLoad};
 use crankmux_simulator::script::Script;
 
-fn endpoint(more: &str) -> Endpoint {
+fn endpoint(machine_keys: &str) -> Endpoint {
     let text = format!(
         "name = 'x'\nseconds = 9\nnodes = 1\nload = {{ rate = 1 }}\n\
          [[categories]]\nname = 'v'\neffect = 'redeliverable'\ntarget_ms = 9\nttl_ms = 9\nwork_ms = 1\n\
-         [[machines]]\nkind = 'm'\ncount = 1\ncores = 2\nqueue = 3\n{more}\n"
+         [[machines]]\nkind = 'm'\ncount = 1\ncores = 2\nqueue = 3\n{machine_keys}\n"
     );
     let script = Script::read(&text).expect("a valid script");
     Endpoint::new(&script.machine_types[0], &script.limits, 1, 0, 0, 0.0)
@@ -31,12 +31,12 @@
 }
 
 #[test]
-fn cores_and_queue_are_bounded_and_a_free_core_takes_the_next_job() {
+fn cores_and_queue_are_bounded_and_a_free_core_starts_the_next_job() {
     let mut endpoint = endpoint("");
     assert!((0..5).all(|attempt| endpoint.enqueue(0.0, job(attempt, 0.0))));
     assert!(
         !endpoint.enqueue(0.0, job(5, 0.0)),
-        "two running and three queued fill it"
+        "two cores and three queue slots are taken"
     );
     let mut started = Vec::new();
     while let Some(Dequeued::Started(running)) = endpoint.start_next(0.0) {
@@ -60,11 +60,11 @@
 }
 
 #[test]
-fn a_machine_degraded_by_a_long_wait_stays_slow_until_it_had_little_load() {
+fn an_endpoint_degraded_by_a_long_queue_wait_recovers_after_a_period_of_low_load() {
     let mut endpoint = endpoint("tips = { after_ms = 50, to = 0.2, relief = 0.5, relief_for = 2 }");
     endpoint.enqueue(0.0, job(0, -60.0));
     let Some(Dequeued::Started(running)) = endpoint.start_next(0.0) else {
-        panic!("a core is free")
+        panic!("no job started although a core is free")
     };
     assert!(
         endpoint.degraded && running.finishes_at == 50.0,
@@ -74,11 +74,11 @@
         endpoint.complete(50.0, running.number),
         Completion::Finished(_)
     ));
-    // The wait is over, but it stays slow until it has had little load for two seconds.
+    // The queue is empty again, but recovery takes two seconds of low load.
     endpoint.enqueue(1000.0, job(1, 1000.0));
     assert!(endpoint.degraded);
     let Some(Dequeued::Started(running)) = endpoint.start_next(1000.0) else {
-        panic!("a core is free")
+        panic!("no job started although a core is free")
     };
     assert!(matches!(
         endpoint.complete(running.finishes_at, running.number),
@@ -87,7 +87,7 @@
     endpoint.enqueue(2100.0, job(2, 2100.0));
     assert!(
         !endpoint.degraded,
-        "two seconds with less than half of its cores busy"
+        "recovered after two seconds of low load"
     );
 }
 
@@ -98,11 +98,14 @@
         endpoint.enqueue(0.0, job(attempt, 0.0));
     }
     let Some(Dequeued::Started(first)) = endpoint.start_next(0.0) else {
-        panic!("a core is free")
+        panic!("no job started although a core is free")
     };
     endpoint.start_next(0.0);
-    assert!(endpoint.cancel(1.0, 1, 1, 2), "it was still queued");
-    assert!(!endpoint.cancel(1.0, 1, 1, 0), "running work goes on here");
+    assert!(endpoint.cancel(1.0, 1, 1, 2), "the job was still queued");
+    assert!(
+        !endpoint.cancel(1.0, 1, 1, 0),
+        "the endpoint does not stop running jobs"
+    );
     endpoint.paused_until = 40.0;
     assert!(
         matches!(endpoint.complete(10.0, first.number), Completion::PausedUntil(at) if at == 40.0)
@@ -120,7 +123,7 @@
     assert_eq!(
         endpoint.report_load(0.0, 100.0, 150.0),
         None,
-        "none is old enough"
+        "no measurement is old enough"
     );
     endpoint.enqueue(100.0, job(1, 0.0));
     endpoint.report_load(100.0, 100.0, 150.0);
--- a/simulator/tests/environment.rs
+++ b/simulator/tests/environment.rs
@@ -1,21 +1,21 @@
-//! Runs in virtual time: violations are caught, random streams are independent.
+//! Simulation runs: the invariant checker reports violations, and random streams are independent.
 
 mod common;
 
-use common::{text, RELEASE, RESPONSES_LOST};
+use common::{script_text, RELEASE, RESPONSES_LOST};
 use crankmux_simulator::environment::run;
 use crankmux_simulator::policies::PolicyKind;
 use crankmux_simulator::script::Script;
 
-fn script(more: &str) -> Script {
-    Script::read(&text(more)).unwrap_or_else(|error| panic!("{error}"))
+fn script(extra: &str) -> Script {
+    Script::read(&script_text(extra)).unwrap_or_else(|error| panic!("{error}"))
 }
 
-const DEPARTURES: &str = "[clients]\nimpatient = 0.2\n";
+const DISCONNECTS: &str = "[clients]\nimpatient = 0.2\n";
 
 /// Violations of each rule, in the order of [`crankmux_simulator::invariants::Rule`].
-fn violations(kind: PolicyKind, more: &str) -> [u64; 5] {
-    let results = run(&script(more), kind, 5).expect("a valid policy");
+fn violations(kind: PolicyKind, extra: &str) -> [u64; 5] {
+    let results = run(&script(extra), kind, 5).expect("a valid policy");
     assert!(results.totals.calls > 1000, "{}", results.totals.calls);
     if let Some(report) = results.violation_reports.first() {
         assert!(results.violations != [0; 5] && !report.is_empty());
@@ -30,10 +30,10 @@
         PolicyKind::Random,
         PolicyKind::LeastOutstanding,
     ] {
-        let [lost, duplicates, drains, _, departures] =
-            violations(kind, &format!("{RELEASE}{RESPONSES_LOST}{DEPARTURES}"));
+        let [lost, duplicates, drains, _, disconnects] =
+            violations(kind, &format!("{RELEASE}{RESPONSES_LOST}{DISCONNECTS}"));
         assert_eq!(
-            [lost, duplicates, drains, departures],
+            [lost, duplicates, drains, disconnects],
             [0; 4],
             "{}",
             kind.name()
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn a_policy_that_loses_requests_is_caught() {
+fn lost_requests_are_detected() {
     let [lost, duplicates, drains, ..] = violations(PolicyKind::LosesRequests, "");
     assert!(
         lost > 20 && [duplicates, drains] == [0; 2],
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn a_policy_that_retries_unsafely_is_caught_with_the_history_of_the_request() {
+fn unsafe_retries_are_detected_and_reported_with_the_history_of_the_request() {
     let resets = RESPONSES_LOST.replace("answers-lost", "resets");
     let results = run(&script(&resets), PolicyKind::RetriesUnsafely, 5).expect("a valid policy");
     assert!(
@@ -67,25 +67,26 @@
         results.violations
     );
     let report = &results.violation_reports[0];
-    let at = |what: &str| {
+    let position = |event: &str| {
         report
-            .find(what)
-            .unwrap_or_else(|| panic!("{what} is missing in {report}"))
+            .find(event)
+            .unwrap_or_else(|| panic!("{event} is missing in {report}"))
     };
     assert!(
-        at("Taken") < at("Pushed { push: 0") && at("Pushed { push: 0") < at("Pushed { push: 1"),
+        position("Taken") < position("Pushed { push: 0")
+            && position("Pushed { push: 0") < position("Pushed { push: 1"),
         "{report}"
     );
 }
 
 #[test]
-fn a_policy_that_sends_after_the_drain_grace_is_caught() {
+fn attempts_after_the_drain_grace_are_detected() {
     let [_, duplicates, drains, ..] = violations(PolicyKind::IgnoresDrains, RELEASE);
     assert!(drains > 20 && duplicates == 0, "{drains} {duplicates}");
 }
 
 #[test]
-fn a_policy_that_floods_a_cold_endpoint_is_caught_and_the_endpoint_is_overloaded() {
+fn flooding_a_cold_endpoint_overloads_it_and_is_detected() {
     let results = run(&script(RELEASE), PolicyKind::FloodsNewest, 5).expect("a valid policy");
     assert!(
         results.violations[3] > 0 && results.endpoints_overloaded == results.violations[3],
@@ -94,50 +95,53 @@
     );
 }
 
-/// An attempt that overloaded a cold endpoint was never settled: its proxy waited for it until the attempt timed out,
-/// as if the endpoint were silent, and its request was held until the end of the run.
+/// Regression test: an attempt that overloaded a cold endpoint never ended, so its request stayed open until the end of
+/// the run.
 #[test]
-fn an_attempt_that_overloads_an_endpoint_ends_with_its_connection() {
+fn an_attempt_that_overloads_an_endpoint_ends_when_its_connection_closes() {
     let results = run(&script(RELEASE), PolicyKind::FloodsNewest, 5).expect("a valid policy");
     assert!(results.endpoints_overloaded > 0);
-    assert_eq!(results.overdue_requests, 0, "held to the end");
+    assert_eq!(
+        results.overdue_requests, 0,
+        "requests still open at the end of the run"
+    );
 }
 
 #[test]
-fn a_policy_that_goes_on_for_departed_clients_is_caught() {
-    // Unresponsive machines: each attempt takes a second to fail, and clients leave after one and a half.
-    let more = "[way]\nconnect_ms = 1000\nkeepalive = 0.02\n[clients]\nimpatient = 0.5\n[[faults]]\nkind = \"silent\"\nat = 2\nfor = 10\npart = 0.8\n";
-    let script = text(more)
+fn attempts_for_disconnected_clients_are_detected() {
+    // Attempts to unresponsive endpoints fail after 1 s, and impatient clients disconnect after 1.5 s.
+    let extra = "[way]\nconnect_ms = 1000\nkeepalive = 0.02\n[clients]\nimpatient = 0.5\n[[faults]]\nkind = \"silent\"\nat = 2\nfor = 10\npart = 0.8\n";
+    let script = script_text(extra)
         .replace("ttl_ms = 800", "ttl_ms = 3000")
         .replace("ttl_ms = 900", "ttl_ms = 3000");
     let script = Script::read(&script).unwrap_or_else(|error| panic!("{error}"));
-    let departures = |kind| run(&script, kind, 5).expect("a valid policy").violations[4];
+    let disconnects = |kind| run(&script, kind, 5).expect("a valid policy").violations[4];
     assert!(
-        departures(PolicyKind::IgnoresDisconnects) > 20,
+        disconnects(PolicyKind::IgnoresDisconnects) > 20,
         "{}",
-        departures(PolicyKind::IgnoresDisconnects)
+        disconnects(PolicyKind::IgnoresDisconnects)
     );
-    assert_eq!(departures(PolicyKind::Dispatcher), 0);
+    assert_eq!(disconnects(PolicyKind::Dispatcher), 0);
 }
 
 #[test]
 fn an_added_fault_does_not_change_the_arrivals() {
-    let calls = |more: &str| {
-        let results = run(&script(more), PolicyKind::Dispatcher, 3).expect("a valid policy");
+    let calls = |extra: &str| {
+        let results = run(&script(extra), PolicyKind::Dispatcher, 3).expect("a valid policy");
         results
             .seconds
             .iter()
             .map(|second| second.counts.calls)
             .collect::<Vec<_>>()
     };
-    // The last second's may still be on their way at the end of the day.
-    let calm = calls("");
-    let rough = calls(&format!("{RELEASE}{RESPONSES_LOST}"));
-    assert_eq!(calm[..12], rough[..12]);
+    // Excludes the last second, whose calls may still be open at the end of the run.
+    let without_faults = calls("");
+    let with_faults = calls(&format!("{RELEASE}{RESPONSES_LOST}"));
+    assert_eq!(without_faults[..12], with_faults[..12]);
 }
 
 #[test]
-fn the_same_seed_gives_the_same_bytes_and_another_seed_does_not() {
+fn results_are_identical_for_the_same_seed_and_differ_for_another() {
     let bytes = |seed| {
         serde_json::to_vec(&run(&script(RESPONSES_LOST), PolicyKind::Dispatcher, seed).unwrap())
             .unwrap()
@@ -147,8 +151,8 @@
 }
 
 #[test]
-fn retries_keep_degraded_machines_slow_after_a_burst() {
-    let degrading = text("[clients]\nretries = 5\nbackoff = \"none\"\nhonour = 0.0\n")
+fn immediate_retries_keep_degraded_endpoints_slow_after_a_burst() {
+    let degrading = script_text("[clients]\nretries = 5\nbackoff = \"none\"\nhonour = 0.0\n")
         .replace("share = 0.4", "share = 0.55\nbursts = [{ at = 3, for = 2, times = 3.0 }]")
         .replace(
             "cores = 2",
@@ -159,15 +163,15 @@
     let last = &random.seconds[11].counts;
     assert!(
         random.endpoints_degraded > 4 && last.service < 70.0,
-        "down six seconds after the burst: {}",
+        "service six seconds after the burst: {}",
         last.service
     );
-    let calm = Script {
+    let without_burst = Script {
         duration_s: 14.0,
         ..script("")
     };
     assert!(
-        run(&calm, PolicyKind::Random, 5)
+        run(&without_burst, PolicyKind::Random, 5)
             .expect("a valid policy")
             .service
             > 90.0
@@ -175,18 +179,18 @@
 }
 
 #[test]
-fn the_omniscient_policy_serves_best_under_a_partition() {
+fn the_oracle_serves_best_under_a_partition() {
     let partition = "[[faults]]\nkind = \"zone-cut\"\nzone = \"b\"\nat = 3\nfor = 6\n\
                [[faults]]\nkind = \"slow\"\nat = 4\nfor = 6\nstrength = 6.0\npart = 0.4\n";
     let service = |kind| {
         let results = run(&script(partition), kind, 5).expect("a valid policy");
         results.service
     };
-    let omniscient = service(PolicyKind::Oracle);
-    let module = service(PolicyKind::Dispatcher);
+    let oracle = service(PolicyKind::Oracle);
+    let dispatcher = service(PolicyKind::Dispatcher);
     let random = service(PolicyKind::Random);
     assert!(
-        omniscient >= module && module > random + 3.0,
-        "{omniscient} {module} {random}"
+        oracle >= dispatcher && dispatcher > random + 3.0,
+        "{oracle} {dispatcher} {random}"
     );
 }
