--- a/simulator/src/script/reader.rs
+++ b/simulator/src/script/reader.rs
@@ -66,14 +66,14 @@
 #[derive(Clone, Debug, PartialEq, Error)]
 pub enum InvalidValue {
     /// The number is outside its range.
-    #[error("is {value}; it must be between {least} and {most}")]
+    #[error("is {value}; it must be between {min} and {max}")]
     OutOfRange {
         /// The number.
         value: f64,
         /// Lower bound, inclusive.
-        least: f64,
+        min: f64,
         /// Upper bound, inclusive.
-        most: f64,
+        max: f64,
     },
     /// The value breaks another rule, phrased to follow the key in a sentence.
     #[error("{0}")]
--- a/simulator/src/script/types.rs
+++ b/simulator/src/script/types.rs
@@ -158,7 +158,7 @@
     /// Latency up to which an answer counts as in time.
     #[serde(rename = "target_ms")]
     pub latency_objective_ms: f64,
-    /// How long a client waits for the answer.
+    /// How long a client waits for an answer.
     pub ttl_ms: f64,
     /// Weight of an answer in time.
     #[serde(default = "defaults::one", rename = "benefit")]
@@ -213,10 +213,10 @@
     /// Whether queued requests past their deadline are rejected instead of executed.
     #[serde(default = "defaults::enabled")]
     pub drops_expired: bool,
-    /// Endpoints of a pod, in the order of the list.
+    /// Endpoints per pod, assigned in list order.
     #[serde(default = "defaults::pod_size")]
     pub pod_size: usize,
-    /// Keys that it caches.
+    /// Number of keys in the key cache.
     #[serde(default = "defaults::key_cache_size", rename = "keys")]
     pub key_cache_size: usize,
     /// Degradation after long queue waits; none if absent.
--- a/simulator/src/script/validation.rs
+++ b/simulator/src/script/validation.rs
@@ -9,20 +9,20 @@
 
 type Validation = Result<(), InvalidKey>;
 
-fn check_range(key: &str, value: f64, least: f64, most: f64) -> Validation {
-    if (least..=most).contains(&value) {
+fn check_range(key: &str, value: f64, min: f64, max: f64) -> Validation {
+    if (min..=max).contains(&value) {
         return Ok(());
     }
     Err(InvalidKey {
         key: key.to_string(),
-        reason: InvalidValue::OutOfRange { value, least, most },
+        reason: InvalidValue::OutOfRange { value, min, max },
     })
 }
 
 /// Checks rows of key, value, lower bound and upper bound.
 fn check_ranges<const ROWS: usize>(rows: [(&str, f64, f64, f64); ROWS]) -> Validation {
     rows.into_iter()
-        .try_for_each(|(key, value, least, most)| check_range(key, value, least, most))
+        .try_for_each(|(key, value, min, max)| check_range(key, value, min, max))
 }
 
 /// Like [`check_ranges`], with keys relative to the path of one table of an array, such as `machines.0`.
@@ -30,8 +30,8 @@
     item: &str,
     rows: [(&str, f64, f64, f64); ROWS],
 ) -> Validation {
-    rows.into_iter().try_for_each(|(key, value, least, most)| {
-        check_range(&format!("{item}.{key}"), value, least, most)
+    rows.into_iter().try_for_each(|(key, value, min, max)| {
+        check_range(&format!("{item}.{key}"), value, min, max)
     })
 }
 
@@ -161,7 +161,7 @@
     }
 
     fn validate_fault(&self, item: &str, fault: &Fault) -> Validation {
-        let (least, most) = match fault.kind {
+        let (min, max) = match fault.kind {
             FaultKind::Slow | FaultKind::LoadReportsWrong => (0.01, 1000.0),
             FaultKind::FailFast | FaultKind::ResponsesLost | FaultKind::ConnectionResets => {
                 (0.0, 1.0)
@@ -175,7 +175,7 @@
                 ("at", fault.start_s, 0.0, self.duration_s),
                 ("for", fault.duration_s, 0.0, MAX_DURATION_S),
                 ("part", fault.fraction, 0.0, 1.0),
-                ("strength", fault.strength, least, most),
+                ("strength", fault.strength, min, max),
             ],
         )?;
         self.validate_fault_targets(item, fault)
