--- a/membership/tests/network/failure_detection.rs
+++ b/membership/tests/network/failure_detection.rs
@@ -1,10 +1,10 @@
-//! Detection of failures, and what must not count as one.
+//! Failure detection, and conditions that must not be mistaken for a failure.
 
 use crate::simulation::Simulation;
 use crankmux_membership::{MemberState, MembershipEvent, Reachability};
 
 #[test]
-fn members_that_start_together_discover_each_other_and_share_evenly() {
+fn members_that_start_together_discover_each_other_and_get_equal_shares() {
     let mut net = Simulation::start(24, 1);
     net.run_for(5000.0);
     assert!(net.all_members_see(23), "each of the 24 sees the 23 others");
@@ -15,13 +15,13 @@
     let shares = net.shares(24.0);
     assert!(
         shares.iter().all(|share| (share * 24.0 - 1.0).abs() < 1e-9),
-        "each has its share: {shares:?}"
+        "shares must be equal: {shares:?}"
     );
-    net.assert_share_sum("whole run");
+    net.assert_shares_within_budget("whole run");
 }
 
 #[test]
-fn a_third_of_the_members_killed_at_once_is_detected_within_seconds() {
+fn the_failure_of_a_third_of_the_members_is_detected_within_seconds() {
     let mut detection_ms = Vec::new();
     for seed in 0..8 {
         let mut net = Simulation::start(24, seed);
@@ -45,18 +45,18 @@
         );
     }
     detection_ms.sort_by(f64::total_cmp);
-    let median = detection_ms[detection_ms.len() / 2];
-    let percentile_99 = detection_ms[detection_ms.len() * 99 / 100];
+    let median_ms = detection_ms[detection_ms.len() / 2];
+    let p99_ms = detection_ms[detection_ms.len() * 99 / 100];
     assert!(
-        percentile_99 < 5000.0,
-        "{percentile_99} ms at the 99th percentile of {}",
+        p99_ms < 5000.0,
+        "{p99_ms} ms at the 99th percentile of {}",
         detection_ms.len()
     );
-    println!("detection: median {median} ms, 99th percentile {percentile_99} ms");
+    println!("detection: median {median_ms} ms, 99th percentile {p99_ms} ms");
 }
 
 #[test]
-fn packet_loss_of_a_tenth_declares_no_live_member_failed() {
+fn ten_percent_packet_loss_causes_no_false_failures() {
     let mut net = Simulation::start(24, 3);
     net.run_for(5000.0);
     net.loss = 0.1;
@@ -71,7 +71,7 @@
             .take(3)
             .collect::<Vec<_>>()
     );
-    net.assert_share_sum("whole run");
+    net.assert_shares_within_budget("whole run");
 }
 
 #[test]
@@ -81,29 +81,36 @@
     net.run_for(9990.0);
     assert!(
         net.count_in_state(0, MemberState::Failed) == 1,
-        "the others declare it failed"
+        "the other members must declare it failed"
     );
     net.run_for(5000.0);
     let mut own_events = net.events.iter().filter(|reported| reported.member == 4);
     let failures = own_events.clone().filter(|reported| reported.is_failure());
-    assert_eq!(failures.count(), 0, "it declares nobody failed");
+    assert_eq!(
+        failures.count(),
+        0,
+        "the paused member must declare nobody failed"
+    );
     let is_pause = |event: &MembershipEvent| matches!(event, MembershipEvent::Paused(_));
     assert!(own_events.any(|reported| is_pause(&reported.event)));
-    assert!(net.all_members_see(8), "all see all others again");
-    net.assert_share_sum("whole run");
+    assert!(
+        net.all_members_see(8),
+        "every member must see all others after the pause"
+    );
+    net.assert_shares_within_budget("whole run");
 }
 
 #[test]
-fn a_one_way_partition_and_late_datagrams_do_not_split_the_cluster() {
+fn a_one_way_partition_and_delayed_datagrams_do_not_split_the_cluster() {
     let mut net = Simulation::discovered(9, 6);
-    net.is_cut = |a, b| a == 1 && b == 2;
+    net.is_partitioned = |a, b| a == 1 && b == 2;
     net.run_for(30_000.0);
     assert_eq!(
         net.false_failures(),
         0,
-        "other members probe both for each other"
+        "indirect probes must get around the one-way partition"
     );
-    net.is_cut = |_, _| false;
+    net.is_partitioned = |_, _| false;
     net.delay_ms = 100.0;
     net.loss = 0.2;
     net.run_for(60_000.0);
@@ -111,7 +118,7 @@
     net.delay_ms = 2.0;
     net.run_for(8000.0);
     assert!(net.all_members_see(8));
-    net.assert_share_sum("whole run");
+    net.assert_shares_within_budget("whole run");
 }
 
 #[test]
@@ -126,19 +133,19 @@
 }
 
 #[test]
-fn bytes_per_second_do_not_grow_with_the_cluster() {
-    let rate = |count: usize| {
+fn traffic_per_member_does_not_grow_with_the_cluster_size() {
+    let bytes_per_member_second = |count: usize| {
         let mut net = Simulation::start(count, 17);
         net.run_for(30_000.0);
-        let from = net.bytes;
+        let bytes_before = net.bytes;
         net.run_for(10_000.0);
-        (net.bytes - from) as f64 / count as f64 / 10.0
+        (net.bytes - bytes_before) as f64 / count as f64 / 10.0
     };
-    let few = rate(10);
-    let many = rate(80);
-    println!("{few:.0} and {many:.0} bytes a second a member");
+    let small_cluster = bytes_per_member_second(10);
+    let large_cluster = bytes_per_member_second(80);
+    println!("{small_cluster:.0} and {large_cluster:.0} bytes/s per member");
     assert!(
-        many < 1.5 * few,
-        "{few:.0} and {many:.0} bytes a second a member"
+        large_cluster < 1.5 * small_cluster,
+        "{small_cluster:.0} and {large_cluster:.0} bytes/s per member"
     );
 }
--- a/membership/tests/network/incarnations.rs
+++ b/membership/tests/network/incarnations.rs
@@ -1,4 +1,4 @@
-//! Members that restart, are superseded, or hear of their own earlier incarnations.
+//! Restarts, duplicate names and gossip about a member's own earlier incarnations.
 
 use crate::simulation::{address, member_id, Simulation, KEY};
 use crankmux_membership::{Authenticator, Membership, MembershipEvent, NodeId, Reachability};
@@ -18,9 +18,9 @@
         net.members_seen_by(0)
             .iter()
             .all(|member| member.id.name != "node-5" || member.id.incarnation >= 2),
-        "its later incarnation"
+        "node 0 must not list the earlier incarnation"
     );
-    net.assert_share_sum("whole run");
+    net.assert_shares_within_budget("whole run");
 }
 
 #[test]
@@ -31,21 +31,21 @@
     net.run_for(8000.0);
     assert!(
         net.all_members_see(5),
-        "it was notified, and goes on as a later incarnation"
+        "the member must rejoin under a later incarnation"
     );
     assert!(net.members[&5].local().incarnation > 1);
 }
 
 #[test]
-fn two_members_under_one_name_are_reported() {
+fn members_with_a_duplicate_name_are_reported() {
     let mut net = Simulation::start(6, 14);
     net.run_for(5000.0);
-    let twin = NodeId {
+    let duplicate = NodeId {
         name: "node-3".into(),
         ..member_id(50, 1)
     };
-    let twin = Membership::new(twin, &[address(0)], &[KEY], 5, net.now_ms).unwrap();
-    net.add_member(50, twin);
+    let duplicate = Membership::new(duplicate, &[address(0)], &[KEY], 5, net.now_ms).unwrap();
+    net.add_member(50, duplicate);
     net.run_for(5000.0);
     let is_duplicate =
         |event: &MembershipEvent| matches!(event, MembershipEvent::DuplicateName(..));
@@ -55,7 +55,7 @@
         .any(|reported| is_duplicate(&reported.event)));
 }
 
-/// The packet by which `relay`, which knows only `known` of a member, probes a later incarnation of it for another.
+/// The probe that `relay` sends to `probed` on behalf of `requester`, while it knows only the earlier incarnation `known`.
 fn indirect_probe(relay: &NodeId, known: NodeId, probed: &NodeId, requester: &NodeId) -> Vec<u8> {
     let rng = ChaCha8Rng::seed_from_u64(1);
     let mut relay_swim = Foca::new(relay.clone(), foca::Config::simple(), rng, PostcardCodec);
@@ -76,26 +76,26 @@
     PostcardCodec.encode_header(&header, &mut request).unwrap();
     let mut output = AccumulatingRuntime::new();
     relay_swim.handle_data(&request, &mut output).unwrap();
-    let (to, packet) = output.to_send().expect("the relay probes");
+    let (to, packet) = output.to_send().expect("the relay sends an indirect probe");
     assert_eq!(&to, probed);
     packet.to_vec()
 }
 
 #[test]
 fn a_member_never_lists_an_earlier_incarnation_of_its_own_address() {
-    let me = member_id(0, 2);
+    let local = member_id(0, 2);
     let relay = member_id(1, 1);
     let requester = member_id(2, 1);
-    let packet = indirect_probe(&relay, member_id(0, 1), &me, &requester);
+    let packet = indirect_probe(&relay, member_id(0, 1), &local, &requester);
     let now_ms = 1_000_000.0;
-    let mut member = Membership::new(me, &[], &[KEY], 1, now_ms).unwrap();
+    let mut member = Membership::new(local, &[], &[KEY], 1, now_ms).unwrap();
     member.handle_timers(now_ms);
     let swim_kind = 1;
     let datagram = Authenticator::new(&[KEY], 1, 1)
         .unwrap()
         .sign(swim_kind, &packet);
     member.receive(now_ms, address(1), &datagram).unwrap();
-    // Past the check of all members once a second, and before silent peers would be declared failed.
+    // Long enough for the once-a-second check of all members, too short for silent peers to be declared failed.
     for step in 1..=55 {
         member.handle_timers(now_ms + f64::from(step) * 20.0);
     }
@@ -103,7 +103,7 @@
     assert_eq!(
         others,
         [relay, requester],
-        "the packet was taken in, and its sender and the requester are all others"
+        "the member must have accepted the packet and list only the relay and the requester"
     );
     assert_eq!(member.reachability(), Reachability::Full);
     let own_failure = |event: &MembershipEvent| matches!(event, MembershipEvent::Failed(m) if m.address == address(0));
@@ -111,13 +111,13 @@
 }
 
 #[test]
-fn packet_loss_and_delay_leave_no_member_listing_itself_and_shares_come_back() {
-    // Of the seeds from 1000 to 1399, some of those at which a member listed itself before there was a guard.
+fn after_packet_loss_and_delay_no_member_lists_itself_and_shares_recover() {
+    // Seeds that make a member list itself if gossip about its own address is not filtered.
     for seed in [1068, 1073, 1083, 1137, 1144, 1152, 1155] {
         let mut net = Simulation::discovered(5, seed);
-        net.is_cut = |a, b| a == 1 && b == 0;
+        net.is_partitioned = |a, b| a == 1 && b == 0;
         net.run_for(5000.0);
-        net.is_cut = |_, _| false;
+        net.is_partitioned = |_, _| false;
         net.delay_ms = 100.0;
         net.loss = 0.2;
         for _ in 0..1200 {
@@ -127,7 +127,10 @@
                     .members_seen_by(n)
                     .into_iter()
                     .find(|m| m.id.address == address(n));
-                assert!(own.is_none(), "seed {seed}, {n} lists itself: {own:?}");
+                assert!(
+                    own.is_none(),
+                    "seed {seed}: member {n} lists itself: {own:?}"
+                );
             }
         }
         net.delay_ms = 2.0;
@@ -137,14 +140,14 @@
             assert_eq!(
                 member.reachability(),
                 Reachability::Full,
-                "seed {seed}, {n}"
+                "seed {seed}, member {n}"
             );
             let share = member.slow_start_share(5.0);
             assert!(
                 (share * 5.0 - 1.0).abs() < 1e-9,
-                "seed {seed}, {n}: share {share}"
+                "seed {seed}, member {n}: share {share}"
             );
         }
-        net.assert_share_sum(&format!("seed {seed}"));
+        net.assert_shares_within_budget(&format!("seed {seed}"));
     }
 }
--- a/membership/tests/network/random_faults.rs
+++ b/membership/tests/network/random_faults.rs
@@ -1,4 +1,4 @@
-//! Runs in which faults are drawn by a seed, several at once.
+//! Randomised fault injection: a seed determines a sequence of overlapping faults.
 
 use crate::simulation::Simulation;
 use rand::{RngExt, SeedableRng};
@@ -12,23 +12,23 @@
     |from, to| from < 3 && to >= 3,
     |from, _| from == 1,
 ];
-const FAULTS: usize = 12;
+const FAULTS_PER_RUN: usize = 12;
 
-/// A run with faults, after all of them are mended; the sum of all shares is worked out at each step.
+/// Runs a cluster under random faults, clears them, and returns it once it has had time to recover.
 pub(crate) fn run_with_random_faults(seed: u64) -> Simulation {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let mut net = Simulation::start(7, seed);
     net.configured_size = [5.0, 7.0, 10.0][seed as usize % 3];
     net.run_for(rng.random::<f64>() * 8000.0);
     let mut incarnations = BTreeMap::new();
-    for _ in 0..FAULTS {
+    for _ in 0..FAULTS_PER_RUN {
         inject_fault(&mut net, &mut rng, &mut incarnations);
         net.run_for(rng.random::<f64>() * 6000.0);
     }
-    net.is_cut = |_, _| false;
+    net.is_partitioned = |_, _| false;
     net.loss = 0.0;
     net.delay_ms = 2.0;
-    // A member that started while all seeds were down finds nobody until one is back.
+    // Members that started while all seeds were down discover nobody until a seed is running.
     if !(0..3).any(|seed| net.members.contains_key(&seed)) {
         let incarnation = incarnations.get(&0).copied().unwrap_or(1) + 1;
         net.start_member(0, incarnation);
@@ -45,7 +45,7 @@
     let member = rng.random_range(0..10);
     let is_running = net.members.contains_key(&member);
     match rng.random_range(0..7) {
-        0 => net.is_cut = PARTITIONS[rng.random_range(0..PARTITIONS.len())],
+        0 => net.is_partitioned = PARTITIONS[rng.random_range(0..PARTITIONS.len())],
         1 => net.loss = rng.random::<f64>() * 0.4,
         2 => net.delay_ms = 1.0 + rng.random::<f64>() * 150.0,
         3 => drop(net.members.remove(&member)),
--- a/membership/tests/network/simulation.rs
+++ b/membership/tests/network/simulation.rs
@@ -1,4 +1,4 @@
-//! Clusters in virtual time: a network that loses, delays and cuts, and members that fail and pause.
+//! A simulated cluster in virtual time: the network drops and delays datagrams and partitions, and members fail and pause.
 
 use crankmux_membership::{Member, MemberState, Membership, MembershipEvent, NodeId};
 use rand::{RngExt, SeedableRng};
@@ -6,10 +6,10 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-pub(crate) const KEY: &str = "a key of the fleet's own";
+pub(crate) const KEY: &str = "shared key of the test cluster";
 const STEP_MS: f64 = 10.0;
-/// How many of the first datagrams delivered are kept, to be replayed.
-const MAX_DELIVERED_KEPT: usize = 2000;
+/// Delivered datagrams recorded from the start of the run, for replay tests.
+const MAX_RECORDED_DELIVERIES: usize = 2000;
 const MAX_DATAGRAM_LENGTH: usize = 1200;
 
 pub(crate) fn address(n: usize) -> SocketAddr {
@@ -29,7 +29,6 @@
     }
 }
 
-/// A datagram between two members.
 #[derive(Clone)]
 pub(crate) struct Datagram {
     pub(crate) from: usize,
@@ -37,7 +36,6 @@
     pub(crate) bytes: Vec<u8>,
 }
 
-/// An event that a member reported.
 #[derive(Debug)]
 pub(crate) struct ReportedEvent {
     pub(crate) at_ms: f64,
@@ -56,19 +54,19 @@
     rng: ChaCha8Rng,
     pub(crate) members: BTreeMap<usize, Membership>,
     pub(crate) paused_until_ms: BTreeMap<usize, f64>,
-    /// By the time of arrival in microseconds, and a running number.
+    /// Keyed by delivery time in microseconds, then by sequence number.
     in_flight: BTreeMap<(u64, u64), Datagram>,
     last_sequence: u64,
     pub(crate) loss: f64,
     pub(crate) delay_ms: f64,
-    pub(crate) is_cut: fn(usize, usize) -> bool,
+    pub(crate) is_partitioned: fn(usize, usize) -> bool,
     pub(crate) events: Vec<ReportedEvent>,
     pub(crate) bytes: u64,
-    /// The greatest sum of all live members' shares at any step.
-    pub(crate) greatest_share_sum: f64,
+    /// The largest sum of all running members' slow-start shares over all steps.
+    pub(crate) max_share_sum: f64,
     pub(crate) configured_size: f64,
     pub(crate) delivered: Vec<Datagram>,
-    /// Whether the sum of shares is worked out at each step.
+    /// Whether `max_share_sum` is updated at each step.
     pub(crate) tracks_shares: bool,
     member_at: BTreeMap<SocketAddr, usize>,
 }
@@ -84,10 +82,10 @@
             last_sequence: 0,
             loss: 0.0,
             delay_ms: 2.0,
-            is_cut: |_, _| false,
+            is_partitioned: |_, _| false,
             events: Vec::new(),
             bytes: 0,
-            greatest_share_sum: 0.0,
+            max_share_sum: 0.0,
             configured_size: count as f64,
             delivered: Vec::new(),
             tracks_shares: true,
@@ -97,7 +95,7 @@
         net
     }
 
-    /// A cluster whose members have discovered each other.
+    /// Starts a cluster and runs it until its members have discovered each other.
     pub(crate) fn discovered(count: usize, seed: u64) -> Self {
         let mut net = Simulation::start(count, seed);
         net.run_for(6000.0);
@@ -117,7 +115,7 @@
         self.members.insert(n, member);
     }
 
-    /// A member leaves and ends.
+    /// Makes a member leave gracefully, then stops it.
     pub(crate) fn leave(&mut self, n: usize) {
         self.members.get_mut(&n).unwrap().leave(self.now_ms);
         self.collect_output(n);
@@ -127,21 +125,21 @@
     fn send(&mut self, datagram: Datagram) {
         self.bytes += datagram.bytes.len() as u64;
         assert!(datagram.bytes.len() <= MAX_DATAGRAM_LENGTH);
-        let is_cut = (self.is_cut)(datagram.from, datagram.to);
-        if is_cut || self.rng.random::<f64>() < self.loss {
+        let is_partitioned = (self.is_partitioned)(datagram.from, datagram.to);
+        if is_partitioned || self.rng.random::<f64>() < self.loss {
             return;
         }
         let delay_ms = self.delay_ms * (0.5 + self.rng.random::<f64>());
-        self.arrive_at(self.now_ms + delay_ms, datagram);
+        self.schedule_delivery(self.now_ms + delay_ms, datagram);
     }
 
-    fn arrive_at(&mut self, at_ms: f64, datagram: Datagram) {
+    fn schedule_delivery(&mut self, at_ms: f64, datagram: Datagram) {
         self.last_sequence += 1;
         let key = ((at_ms * 1000.0) as u64, self.last_sequence);
         self.in_flight.insert(key, datagram);
     }
 
-    /// Sends what a member wants sent, and notes its events.
+    /// Sends a member's outgoing datagrams and records its events.
     pub(crate) fn collect_output(&mut self, n: usize) {
         let Some(member) = self.members.get_mut(&n) else {
             return;
@@ -159,7 +157,7 @@
         }
     }
 
-    /// Lets time pass in steps.
+    /// Advances virtual time in steps of `STEP_MS`.
     pub(crate) fn run_for(&mut self, duration_ms: f64) {
         let until_ms = self.now_ms + duration_ms;
         while self.now_ms < until_ms {
@@ -167,28 +165,28 @@
             let now_ms = self.now_ms;
             self.paused_until_ms
                 .retain(|_, until_ms| *until_ms > now_ms);
-            self.deliver_arrived();
+            self.deliver_due_datagrams();
             self.handle_timers();
             self.track_shares();
         }
     }
 
-    fn deliver_arrived(&mut self) {
+    fn deliver_due_datagrams(&mut self) {
         while let Some(entry) = self.in_flight.first_entry() {
             if entry.key().0 as f64 > self.now_ms * 1000.0 {
                 return;
             }
             let datagram = entry.remove();
             if let Some(until_ms) = self.paused_until_ms.get(&datagram.to) {
-                // It waits in the socket until the member goes on.
-                self.arrive_at(*until_ms, datagram);
+                // Datagrams stay in the socket's receive buffer until the member resumes.
+                self.schedule_delivery(*until_ms, datagram);
                 continue;
             }
             let Datagram { from, to, .. } = datagram;
             if let Some(member) = self.members.get_mut(&to) {
                 let _ = member.receive(self.now_ms, address(from), &datagram.bytes);
             }
-            if self.delivered.len() < MAX_DELIVERED_KEPT {
+            if self.delivered.len() < MAX_RECORDED_DELIVERIES {
                 self.delivered.push(datagram);
             }
             self.collect_output(to);
@@ -211,20 +209,23 @@
             return;
         }
         let configured_size = self.configured_size;
-        // A member that has discovered nobody takes one share of the configured size, as one that shares nothing.
+        // Isolated members are left out: each takes one share of the configured size, whatever the others hold.
         let sum: f64 = self
             .members
             .values_mut()
             .filter(|member| !member.members().is_empty())
             .map(|member| member.slow_start_share(configured_size))
             .sum();
-        self.greatest_share_sum = self.greatest_share_sum.max(sum);
+        self.max_share_sum = self.max_share_sum.max(sum);
     }
 
-    /// Asserts that the shares added up to one at most at every step.
-    pub(crate) fn assert_share_sum(&self, context: &str) {
-        let sum = self.greatest_share_sum;
-        assert!(sum < 1.0 + 1e-9, "{context}: {sum} of an endpoint's budget");
+    /// Asserts that the sum of shares never exceeded 1.
+    pub(crate) fn assert_shares_within_budget(&self, context: &str) {
+        let sum = self.max_share_sum;
+        assert!(
+            sum < 1.0 + 1e-9,
+            "{context}: the slow-start shares added up to {sum}"
+        );
     }
 
     pub(crate) fn members_seen_by(&self, n: usize) -> Vec<Member> {
@@ -239,7 +240,7 @@
             .count()
     }
 
-    /// The slow-start shares of all members, where the settings have so many proxies.
+    /// The slow-start share of each member, for a configured cluster size.
     pub(crate) fn shares(&mut self, configured_size: f64) -> Vec<f64> {
         let members = self.members.values_mut();
         members
@@ -247,9 +248,9 @@
             .collect()
     }
 
-    /// Whether every member sees so many others live.
+    /// Whether every member sees exactly `others` other members as live.
     pub(crate) fn all_members_see(&self, others: usize) -> bool {
-        // A member that was probed and has not answered yet is still live.
+        // A suspected member counts as live: it may answer a probe yet.
         let live = |n: &usize| {
             self.count_in_state(*n, MemberState::Alive)
                 + self.count_in_state(*n, MemberState::Suspected)
@@ -257,7 +258,7 @@
         self.members.keys().all(|n| live(n) == others)
     }
 
-    /// How often live members were reported as failed.
+    /// Counts failure events about members that are still running.
     pub(crate) fn false_failures(&self) -> usize {
         let is_live = |id: &NodeId| {
             let mut members = self.members.values();
