--- a/membership/tests/cluster_size.rs
+++ b/membership/tests/cluster_size.rs
@@ -1,41 +1,47 @@
-//! How many proxies are assumed to share the endpoints, by membership and by load reports.
+//! Estimates of the number of proxies that share the endpoints, from membership and load reports.
 
 use crankmux_membership::cluster_size::{ClusterObservation, ClusterSizeEstimate};
 use crankmux_membership::load_estimate::LoadBasedEstimate;
 
-/// A quarter of the members live, and load reports hardly tell of more.
+/// Three quarters of the members have failed, and load reports confirm it.
 const MOST_FAILED: ClusterObservation = ClusterObservation {
     live: 5,
     failed: 15,
     load_based: Some(5.4),
 };
 
-/// The estimate after an observation once a second, for so many seconds.
-fn repeat(
-    size: &mut ClusterSizeEstimate,
+/// Applies an observation once a second for `seconds` seconds and returns the last estimate.
+fn update_every_second(
+    estimate: &mut ClusterSizeEstimate,
     from_ms: f64,
     seconds: usize,
     observation: ClusterObservation,
 ) -> f64 {
     (0..seconds)
-        .map(|second| size.update(from_ms + second as f64 * 1000.0, observation))
+        .map(|second| estimate.update(from_ms + second as f64 * 1000.0, observation))
         .last()
         .unwrap()
 }
 
 #[test]
-fn joins_count_at_once_and_a_partition_changes_nothing() {
-    let mut size = ClusterSizeEstimate::new(10.0, 0.0);
-    let whole = ClusterObservation {
+fn joins_raise_the_estimate_at_once_and_a_partition_does_not_lower_it() {
+    let mut estimate = ClusterSizeEstimate::new(10.0, 0.0);
+    let full_membership = ClusterObservation {
         live: 10,
         failed: 0,
         load_based: None,
     };
-    assert_eq!(size.update(1000.0, whole), 10.0);
+    assert_eq!(estimate.update(1000.0, full_membership), 10.0);
     assert_eq!(
-        size.update(2000.0, ClusterObservation { live: 14, ..whole }),
+        estimate.update(
+            2000.0,
+            ClusterObservation {
+                live: 14,
+                ..full_membership
+            }
+        ),
         14.0,
-        "at once"
+        "new members must count at once"
     );
     let partition = ClusterObservation {
         live: 3,
@@ -43,82 +49,80 @@
         load_based: None,
     };
     assert_eq!(
-        repeat(&mut size, 3000.0, 600, partition),
+        update_every_second(&mut estimate, 3000.0, 600, partition),
         14.0,
-        "those beyond a partition may send"
+        "members across a partition may still be sending"
     );
-    let reported = ClusterObservation {
+    let partition_with_reports = ClusterObservation {
         load_based: Some(13.0),
         ..partition
     };
     assert_eq!(
-        repeat(&mut size, 700_000.0, 600, reported),
+        update_every_second(&mut estimate, 700_000.0, 600, partition_with_reports),
         14.0,
-        "and load reports say that they do"
+        "load reports show that the members across the partition still send"
     );
 }
 
 #[test]
-fn the_estimate_falls_once_load_reports_confirm_it_and_rises_at_once() {
-    let mut size = ClusterSizeEstimate::new(20.0, 0.0);
-    let lost = MOST_FAILED;
+fn the_estimate_falls_only_after_load_reports_confirm_it_and_rises_at_once() {
+    let mut estimate = ClusterSizeEstimate::new(20.0, 0.0);
     assert_eq!(
-        repeat(&mut size, 0.0, 9, lost),
+        update_every_second(&mut estimate, 0.0, 9, MOST_FAILED),
         20.0,
-        "not before it is confirmed"
+        "the estimate must not fall before load reports have confirmed it"
     );
-    let fallen = repeat(&mut size, 9000.0, 60, lost);
+    let fallen = update_every_second(&mut estimate, 9000.0, 60, MOST_FAILED);
     assert!((5.0..5.5).contains(&fallen), "{fallen}");
     assert_eq!(
-        size.update(
+        estimate.update(
             70_000.0,
             ClusterObservation {
                 live: 20,
                 failed: 0,
-                ..lost
+                ..MOST_FAILED
             }
         ),
         20.0,
-        "all are back"
+        "the estimate must rise as soon as all members are live again"
     );
 }
 
 #[test]
-fn the_estimate_rises_at_once_with_load_reports_but_not_to_all_that_failed() {
-    let lost = MOST_FAILED;
-    let mut size = ClusterSizeEstimate::new(20.0, 0.0);
-    repeat(&mut size, 0.0, 60, lost);
-    let again = ClusterObservation {
+fn the_estimate_rises_to_the_load_reports_but_does_not_add_all_failed_members() {
+    let mut estimate = ClusterSizeEstimate::new(20.0, 0.0);
+    update_every_second(&mut estimate, 0.0, 60, MOST_FAILED);
+    let more_senders = ClusterObservation {
         load_based: Some(12.0),
-        ..lost
+        ..MOST_FAILED
     };
     assert_eq!(
-        size.update(61_000.0, again),
+        estimate.update(61_000.0, more_senders),
         12.0,
-        "somebody sends beyond the partition, at once"
+        "load reports of more senders must raise the estimate at once"
     );
-    repeat(&mut size, 62_000.0, 60, lost);
-    let strays = ClusterObservation {
+    update_every_second(&mut estimate, 62_000.0, 60, MOST_FAILED);
+    let slightly_more_senders = ClusterObservation {
         load_based: Some(7.0),
-        ..lost
+        ..MOST_FAILED
     };
     assert_eq!(
-        size.update(123_000.0, strays),
+        estimate.update(123_000.0, slightly_more_senders),
         7.0,
-        "a sample strays, or some send: not all of those gone for that"
+        "a small rise in the load reports must not restore all failed members"
     );
     assert!(
-        size.update(123_100.0, lost) > 6.5,
-        "and it falls no faster than before"
+        estimate.update(123_100.0, MOST_FAILED) > 6.5,
+        "the estimate must not drop abruptly"
     );
 }
 
 #[test]
-fn settings_with_fewer_proxies_do_not_lower_the_estimate_at_once() {
-    let mut size = ClusterSizeEstimate::new(20.0, 0.0);
-    size.set_configured(5.0);
+fn a_lower_configured_size_does_not_lower_the_estimate_at_once() {
+    let mut estimate = ClusterSizeEstimate::new(20.0, 0.0);
+    estimate.set_configured(5.0);
     assert_eq!(
-        size.update(
+        estimate.update(
             1000.0,
             ClusterObservation {
                 live: 5,
@@ -131,42 +135,43 @@
 }
 
 #[test]
-fn load_reports_tell_how_many_proxies_send_whether_or_not_they_count_the_answered_request() {
-    for counts_answered in [0.0, 1.0] {
+fn the_load_based_estimate_holds_whether_or_not_reports_count_the_answered_request() {
+    for answered_request in [0.0, 1.0] {
         let mut load = LoadBasedEstimate::default();
-        assert_eq!(load.estimate(0.0), None, "nothing reported yet");
+        assert_eq!(
+            load.estimate(0.0),
+            None,
+            "no estimate before the first load report"
+        );
         let mut now_ms = 0.0;
-        let mut run = |load: &mut LoadBasedEstimate, proxies: f64, whole_cluster: Option<usize>| {
+        let mut run = |load: &mut LoadBasedEstimate, proxies: f64, live_members: Option<usize>| {
             for n in 0..4000 {
                 now_ms += 5.0;
                 let own = f64::from(n % 3);
-                load.record(now_ms, proxies * own + counts_answered, own);
-                if let Some(live) = whole_cluster {
+                load.record(now_ms, proxies * own + answered_request, own);
+                if let Some(live) = live_members {
                     load.calibrate(live);
                 }
             }
-            load.estimate(now_ms).expect("enough reports")
+            load.estimate(now_ms)
+                .expect("there are enough reports for an estimate")
         };
         assert!((run(&mut load, 8.0, Some(8)) - 8.0).abs() < 0.4);
         assert!(
             (run(&mut load, 2.0, None) - 2.0).abs() < 0.4,
-            "six are gone"
+            "the estimate must fall when six of eight proxies stop"
         );
         assert!(
             (run(&mut load, 8.0, None) - 8.0).abs() < 0.4,
-            "six are back, or were never gone"
+            "the estimate must rise when the six proxies send again"
         );
     }
-    let mut quiet = LoadBasedEstimate::default();
-    (0..1000).for_each(|n| quiet.record(f64::from(n) * 10.0, 5.0, 0.0));
-    assert_eq!(
-        quiet.estimate(10_000.0),
-        None,
-        "a proxy that has nothing in flight can tell nothing"
-    );
+    let mut idle = LoadBasedEstimate::default();
+    (0..1000).for_each(|n| idle.record(f64::from(n) * 10.0, 5.0, 0.0));
     assert_eq!(
-        quiet.estimate(90_000.0),
+        idle.estimate(10_000.0),
         None,
-        "and what is long past counts for nothing"
+        "a proxy without requests in flight has no basis for an estimate"
     );
+    assert_eq!(idle.estimate(90_000.0), None, "old reports must not count");
 }
