--- a/membership/tests/endpoint_gossip.rs
+++ b/membership/tests/endpoint_gossip.rs
@@ -1,4 +1,4 @@
-//! Which status of an endpoint counts where other proxies' lists say something else than the own list.
+//! Resolution of an endpoint's status when gossip from other proxies contradicts the proxy's own list.
 
 use crankmux_membership::endpoint_gossip::{
     EndpointStatus, EndpointView, ListUpdate, ListedEndpoint,
@@ -25,7 +25,7 @@
     }
 }
 
-fn line(endpoint: u64, strictness: u8, started_at_ms: f64) -> ListedEndpoint {
+fn listed(endpoint: u64, strictness: u8, started_at_ms: f64) -> ListedEndpoint {
     ListedEndpoint {
         endpoint,
         status: status(strictness, started_at_ms),
@@ -34,14 +34,17 @@
 
 fn view_at(list_version: u64) -> EndpointView {
     let mut view = EndpointView::default();
-    let lines = [line(1, READY, 5.0), line(2, READY, 0.0)];
-    let update = view.update_list(list_version, true, &lines);
-    assert!(update.gossip.is_empty(), "a first list is no news");
+    let endpoints = [listed(1, READY, 5.0), listed(2, READY, 0.0)];
+    let update = view.update_list(list_version, true, &endpoints);
+    assert!(
+        update.gossip.is_empty(),
+        "the initial list must not be gossiped"
+    );
     view
 }
 
 #[test]
-fn the_stricter_status_counts_until_the_own_list_has_come_as_far() {
+fn a_stricter_gossiped_status_applies_until_the_own_list_reaches_its_version() {
     let mut view = view_at(10);
     assert!(view.receive(gossip(1, DRAINING, 5.0, 12)));
     assert_eq!(view.status(1), Some(status(DRAINING, 5.0)));
@@ -50,64 +53,73 @@
     assert_eq!(
         view.status(1),
         Some(status(DRAINING, 5.0)),
-        "not as far yet"
+        "the own list is still older than the gossip"
     );
-    let overtaking = ListUpdate {
+    let override_ended = ListUpdate {
         gossip: vec![],
         overtaken: vec![1],
     };
     assert_eq!(
         view.update_list(12, false, &[]),
-        overtaking,
-        "the own list says otherwise, and is as late"
+        override_ended,
+        "an own list of the same version must take precedence"
     );
     assert_eq!(view.status(1), Some(status(READY, 5.0)));
 }
 
 #[test]
-fn gossip_makes_no_proxy_freer_and_late_or_unknown_gossip_changes_nothing() {
+fn less_strict_outdated_or_unknown_gossip_is_ignored() {
     let mut view = view_at(10);
-    view.update_list(11, false, &[line(1, DRAINING, 5.0)]);
-    assert!(!view.receive(gossip(1, READY, 5.0, 20)), "ready elsewhere");
+    view.update_list(11, false, &[listed(1, DRAINING, 5.0)]);
+    assert!(
+        !view.receive(gossip(1, READY, 5.0, 20)),
+        "a less strict status must not replace the own list's"
+    );
     assert_eq!(view.status(1), Some(status(DRAINING, 5.0)));
     assert!(
         !view.receive(gossip(2, REMOVED, 0.0, 11)),
-        "as old as the own list"
+        "gossip as old as the own list must be ignored"
     );
     assert!(
         !view.receive(gossip(9, DRAINING, 0.0, 30)),
-        "listed nowhere here"
+        "gossip about an unlisted endpoint must be ignored"
     );
     assert!(view.receive(gossip(2, DRAINING, 0.0, 30)));
     assert!(
         !view.receive(gossip(2, REMOVED, 0.0, 29)),
-        "overtaken on its way"
+        "gossip older than previous gossip must be ignored"
+    );
+    assert!(
+        view.receive(gossip(2, READY, 0.0, 31)),
+        "newer gossip must withdraw the stricter status"
     );
-    assert!(view.receive(gossip(2, READY, 0.0, 31)), "taken back");
     assert_eq!(view.status(2), Some(status(READY, 0.0)));
-    assert!(view.receive(gossip(2, READY, 77.0, 32)), "a new start");
+    assert!(
+        view.receive(gossip(2, READY, 77.0, 32)),
+        "gossip about a restarted endpoint must be accepted"
+    );
     assert_eq!(view.status(2), Some(status(READY, 77.0)));
 }
 
 #[test]
-fn a_change_of_the_own_list_is_gossiped_once() {
+fn a_change_in_the_own_list_is_gossiped_once() {
     let mut view = view_at(10);
     assert_eq!(
-        view.update_list(11, false, &[line(1, DRAINING, 5.0)])
+        view.update_list(11, false, &[listed(1, DRAINING, 5.0)])
             .gossip,
         [gossip(1, DRAINING, 5.0, 11)]
     );
-    let repeated = view.update_list(12, false, &[line(1, DRAINING, 5.0)]);
+    let repeated = view.update_list(12, false, &[listed(1, DRAINING, 5.0)]);
     assert!(repeated.gossip.is_empty());
-    let lines = [line(1, READY, 9.0), line(3, READY, 8.0)];
+    let endpoints = [listed(1, READY, 9.0), listed(3, READY, 8.0)];
     assert_eq!(
-        view.update_list(13, false, &lines).gossip,
+        view.update_list(13, false, &endpoints).gossip,
         [gossip(1, READY, 9.0, 13), gossip(3, READY, 8.0, 13)]
     );
     assert_eq!(
-        view.update_list(14, true, &lines).gossip,
+        view.update_list(14, true, &endpoints).gossip,
         [gossip(2, REMOVED, 0.0, 14)],
-        "missing from the whole list is removed"
+        "an endpoint missing from a complete list must be gossiped as removed"
     );
     assert_eq!(view.status(2), None);
 }
