--- a/membership/tests/network/failure_detection.rs
+++ b/membership/tests/network/failure_detection.rs
@@ -59,7 +59,7 @@
 fn ten_percent_packet_loss_causes_no_false_failures() {
     let mut net = Simulation::start(24, 3);
     net.run_for(5000.0);
-    net.loss = 0.1;
+    net.loss_probability = 0.1;
     net.run_for(600_000.0);
     assert_eq!(
         net.false_failures(),
@@ -81,7 +81,7 @@
     net.run_for(9990.0);
     assert!(
         net.count_in_state(0, MemberState::Failed) == 1,
-        "the other members must declare it failed"
+        "member 0 must declare the paused member failed"
     );
     net.run_for(5000.0);
     let mut own_events = net.events.iter().filter(|reported| reported.member == 4);
@@ -112,9 +112,9 @@
     );
     net.is_partitioned = |_, _| false;
     net.delay_ms = 100.0;
-    net.loss = 0.2;
+    net.loss_probability = 0.2;
     net.run_for(60_000.0);
-    net.loss = 0.0;
+    net.loss_probability = 0.0;
     net.delay_ms = 2.0;
     net.run_for(8000.0);
     assert!(net.all_members_see(8));
@@ -125,9 +125,9 @@
 fn the_same_seed_gives_the_same_run() {
     let run = || {
         let mut net = Simulation::start(9, 16);
-        net.loss = 0.2;
+        net.loss_probability = 0.2;
         net.run_for(20_000.0);
-        (net.bytes, net.events.len())
+        (net.bytes_sent, net.events.len())
     };
     assert_eq!(run(), run());
 }
@@ -137,9 +137,9 @@
     let bytes_per_member_second = |count: usize| {
         let mut net = Simulation::start(count, 17);
         net.run_for(30_000.0);
-        let bytes_before = net.bytes;
+        let bytes_before = net.bytes_sent;
         net.run_for(10_000.0);
-        (net.bytes - bytes_before) as f64 / count as f64 / 10.0
+        (net.bytes_sent - bytes_before) as f64 / count as f64 / 10.0
     };
     let small_cluster = bytes_per_member_second(10);
     let large_cluster = bytes_per_member_second(80);
--- a/membership/tests/network/incarnations.rs
+++ b/membership/tests/network/incarnations.rs
@@ -112,14 +112,14 @@
 
 #[test]
 fn after_packet_loss_and_delay_no_member_lists_itself_and_shares_recover() {
-    // Seeds that make a member list itself if gossip about its own address is not filtered.
+    // Seeds that make a member list itself if its own earlier incarnations are not filtered out.
     for seed in [1068, 1073, 1083, 1137, 1144, 1152, 1155] {
         let mut net = Simulation::discovered(5, seed);
         net.is_partitioned = |a, b| a == 1 && b == 0;
         net.run_for(5000.0);
         net.is_partitioned = |_, _| false;
         net.delay_ms = 100.0;
-        net.loss = 0.2;
+        net.loss_probability = 0.2;
         for _ in 0..1200 {
             net.run_for(10.0);
             for n in 0..5 {
@@ -134,7 +134,7 @@
             }
         }
         net.delay_ms = 2.0;
-        net.loss = 0.0;
+        net.loss_probability = 0.0;
         net.run_for(8000.0);
         for (n, member) in &mut net.members {
             assert_eq!(
--- a/membership/tests/network/long_runs.rs
+++ b/membership/tests/network/long_runs.rs
@@ -17,9 +17,9 @@
         }
         let discovered_ms = net.now_ms - started_at_ms;
         net.run_for(20_000.0);
-        let bytes_before = net.bytes;
+        let bytes_before = net.bytes_sent;
         net.run_for(10_000.0);
-        let bytes_per_second = (net.bytes - bytes_before) as f64 / count as f64 / 10.0;
+        let bytes_per_second = (net.bytes_sent - bytes_before) as f64 / count as f64 / 10.0;
         let killed_at_ms = net.now_ms;
         (0..count / 10).for_each(|n| drop(net.members.remove(&(10 * n + 5))));
         net.events.clear();
--- a/membership/tests/network/random_faults.rs
+++ b/membership/tests/network/random_faults.rs
@@ -26,7 +26,7 @@
         net.run_for(rng.random::<f64>() * 6000.0);
     }
     net.is_partitioned = |_, _| false;
-    net.loss = 0.0;
+    net.loss_probability = 0.0;
     net.delay_ms = 2.0;
     // Members that started while all seeds were down discover nobody until a seed is running.
     if !(0..3).any(|seed| net.members.contains_key(&seed)) {
@@ -46,7 +46,7 @@
     let is_running = net.members.contains_key(&member);
     match rng.random_range(0..7) {
         0 => net.is_partitioned = PARTITIONS[rng.random_range(0..PARTITIONS.len())],
-        1 => net.loss = rng.random::<f64>() * 0.4,
+        1 => net.loss_probability = rng.random::<f64>() * 0.4,
         2 => net.delay_ms = 1.0 + rng.random::<f64>() * 150.0,
         3 => drop(net.members.remove(&member)),
         4 if is_running => {
--- a/membership/tests/network/simulation.rs
+++ b/membership/tests/network/simulation.rs
@@ -57,12 +57,12 @@
     /// Keyed by delivery time in microseconds, then by sequence number.
     in_flight: BTreeMap<(u64, u64), Datagram>,
     last_sequence: u64,
-    pub(crate) loss: f64,
+    pub(crate) loss_probability: f64,
     pub(crate) delay_ms: f64,
     pub(crate) is_partitioned: fn(usize, usize) -> bool,
     pub(crate) events: Vec<ReportedEvent>,
-    pub(crate) bytes: u64,
-    /// The largest sum of all running members' slow-start shares over all steps.
+    pub(crate) bytes_sent: u64,
+    /// The largest sum, over all steps, of the shares of running members that have discovered others.
     pub(crate) max_share_sum: f64,
     pub(crate) configured_size: f64,
     pub(crate) delivered: Vec<Datagram>,
@@ -80,11 +80,11 @@
             paused_until_ms: BTreeMap::new(),
             in_flight: BTreeMap::new(),
             last_sequence: 0,
-            loss: 0.0,
+            loss_probability: 0.0,
             delay_ms: 2.0,
             is_partitioned: |_, _| false,
             events: Vec::new(),
-            bytes: 0,
+            bytes_sent: 0,
             max_share_sum: 0.0,
             configured_size: count as f64,
             delivered: Vec::new(),
@@ -123,10 +123,10 @@
     }
 
     fn send(&mut self, datagram: Datagram) {
-        self.bytes += datagram.bytes.len() as u64;
+        self.bytes_sent += datagram.bytes.len() as u64;
         assert!(datagram.bytes.len() <= MAX_DATAGRAM_LENGTH);
         let is_partitioned = (self.is_partitioned)(datagram.from, datagram.to);
-        if is_partitioned || self.rng.random::<f64>() < self.loss {
+        if is_partitioned || self.rng.random::<f64>() < self.loss_probability {
             return;
         }
         let delay_ms = self.delay_ms * (0.5 + self.rng.random::<f64>());
