--- a/fault-injection/faulty-node/main.rs
+++ b/fault-injection/faulty-node/main.rs
@@ -1,15 +1,15 @@
-//! A proxy that is faulty on purpose: it retries a request until its deadline and never looks whether its client is
-//! still there. The harness's invariant checker must catch it.
+//! A deliberately faulty proxy for tests of the invariant checker: it keeps retrying a request until its deadline,
+//! even after the client has disconnected.
 
 use serde_json::Value;
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::time::{Duration, Instant};
 
-/// How long it waits for one endpoint.
+/// The timeout of the connect and of each read.
 const ATTEMPT_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// Reads a message's head; `None` if the connection ends or stands still before that.
+/// Reads a message up to the end of its headers; `None` if the connection is closed or times out first.
 fn read_head(stream: &mut TcpStream) -> Option<String> {
     let mut head = Vec::new();
     while !head.ends_with(b"\r\n\r\n") {
@@ -22,14 +22,14 @@
     String::from_utf8(head).ok()
 }
 
-/// The value of a header, spelt as this program's peers spell it.
+/// Returns the value of a header. The match is case-sensitive.
 fn header<'head>(head: &'head str, name: &str) -> Option<&'head str> {
     head.lines()
         .find_map(|line| line.strip_prefix(name)?.strip_prefix(": "))
 }
 
-/// Whether an endpoint answered a request with success.
-fn attempt_succeeds(request: &str, endpoint: SocketAddr) -> bool {
+/// Sends a request to an endpoint. Returns whether the response status is 200.
+fn try_endpoint(request: &str, endpoint: SocketAddr) -> bool {
     let Ok(mut stream) = TcpStream::connect_timeout(&endpoint, ATTEMPT_TIMEOUT) else {
         return false;
     };
@@ -38,16 +38,16 @@
         && read_head(&mut stream).is_some_and(|head| head.starts_with("HTTP/1.1 200"))
 }
 
-/// Tries one endpoint after another until one succeeds or the request's time is over.
+/// Tries the endpoints in turn until one succeeds or the request's deadline is near.
 fn forward(request: &str, endpoints: &[SocketAddr]) -> bool {
     let seconds = header(request, "X-Timeout").and_then(|seconds| seconds.parse().ok());
-    let time = Duration::from_secs_f64(seconds.unwrap_or(0.0));
+    let timeout = Duration::from_secs_f64(seconds.unwrap_or(0.0));
     let started = Instant::now();
     for endpoint in endpoints.iter().cycle() {
-        if started.elapsed() + ATTEMPT_TIMEOUT >= time {
+        if started.elapsed() + ATTEMPT_TIMEOUT >= timeout {
             return false;
         }
-        if attempt_succeeds(request, *endpoint) {
+        if try_endpoint(request, *endpoint) {
             return true;
         }
     }
@@ -69,38 +69,42 @@
     }
 }
 
-fn address(value: &Value) -> SocketAddr {
+fn parse_address(value: &Value) -> SocketAddr {
     value
         .as_str()
         .and_then(|address| address.parse().ok())
-        .expect("an address")
+        .expect("a socket address")
 }
 
-/// The addresses of all endpoints, as discovery lists them now.
+/// Fetches the addresses of all endpoints from discovery.
 fn read_endpoint_list(discovery: SocketAddr) -> Vec<SocketAddr> {
     let mut stream = TcpStream::connect(discovery).expect("discovery accepts connections");
     stream
         .write_all(b"GET /catalog/members HTTP/1.1\r\nHost: d\r\n\r\n")
-        .expect("discovery reads");
-    let head = read_head(&mut stream).expect("discovery answers");
+        .expect("the request is sent to discovery");
+    let head = read_head(&mut stream).expect("discovery responds");
     let length = header(&head, "Content-Length")
         .and_then(|length| length.parse().ok())
-        .expect("the list has a length");
+        .expect("the response has a Content-Length");
     let mut body = vec![0; length];
     stream
         .read_exact(&mut body)
-        .expect("the list is as long as that");
-    let list: Value = serde_json::from_slice(&body).expect("the list is JSON");
-    let hosts = list["hosts"].as_array().expect("a list of endpoints");
-    hosts.iter().map(|host| address(&host["dial"])).collect()
+        .expect("the response has a complete body");
+    let list: Value = serde_json::from_slice(&body).expect("the endpoint list is JSON");
+    let hosts = list["hosts"].as_array().expect("`hosts` is an array");
+    hosts
+        .iter()
+        .map(|host| parse_address(&host["dial"]))
+        .collect()
 }
 
 fn main() {
-    let path = std::env::var("BALANCER_CONFIG").expect("BALANCER_CONFIG names the configuration");
-    let text = std::fs::read_to_string(path).expect("the configuration can be read");
+    let path = std::env::var("BALANCER_CONFIG").expect("BALANCER_CONFIG is set");
+    let text = std::fs::read_to_string(path).expect("the configuration file is readable");
     let configuration: Value = serde_json::from_str(&text).expect("the configuration is JSON");
-    let endpoints = read_endpoint_list(address(&configuration["discovery"]));
-    let listener = TcpListener::bind(address(&configuration["listen"])).expect("its port is free");
+    let endpoints = read_endpoint_list(parse_address(&configuration["discovery"]));
+    let listener = TcpListener::bind(parse_address(&configuration["listen"]))
+        .expect("the listen address is free");
     for stream in listener.incoming().flatten() {
         let endpoints = endpoints.clone();
         std::thread::spawn(move || serve_client(stream, &endpoints));
--- a/fault-injection/src/connection.rs
+++ b/fault-injection/src/connection.rs
@@ -1,5 +1,5 @@
-//! HTTP/1.1 over non-blocking connections, as far as the harness needs it: requests arrive at stand-in endpoints
-//! and at discovery, responses arrive at clients and observers.
+//! A minimal HTTP/1.1 parser over non-blocking connections: requests for simulated endpoints and discovery, responses
+//! for simulated clients and observers.
 
 use mio::net::TcpStream;
 use std::io::{ErrorKind, Read, Write};
@@ -7,19 +7,19 @@
 const READ_SIZE: usize = 16 * 1024;
 const MAX_HEADERS: usize = 64;
 
-/// The headers of a message, in the order in which they were sent.
+/// The headers of a message, in wire order.
 pub(crate) struct Headers(Vec<(String, String)>);
 
 impl Headers {
     fn new(parsed: &[httparse::Header]) -> Self {
-        let owned = parsed.iter().map(|header| {
+        let headers = parsed.iter().map(|header| {
             let value = String::from_utf8_lossy(header.value).into_owned();
             (header.name.to_string(), value)
         });
-        Headers(owned.collect())
+        Headers(headers.collect())
     }
 
-    /// The value of the first header of this name, in any case of its letters.
+    /// Returns the value of the first header of this name, ignoring case.
     pub(crate) fn get(&self, name: &str) -> Option<&str> {
         self.0
             .iter()
@@ -40,33 +40,32 @@
     }
 }
 
-/// A complete request. Its body is read and dropped.
+/// A complete request. The body is read and discarded.
 pub(crate) struct Request {
     pub(crate) path: String,
     pub(crate) headers: Headers,
 }
 
-/// A complete response.
 pub(crate) struct Response {
     pub(crate) status: u16,
     pub(crate) keep_alive: bool,
     pub(crate) body: Vec<u8>,
 }
 
-/// One connection, with what was read of it and what is still to be written.
+/// A connection with its input and output buffers.
 pub(crate) struct Connection {
     pub(crate) stream: TcpStream,
     input: Vec<u8>,
     output: Vec<u8>,
-    /// The other side's machine has accepted it: something could be written.
+    /// A write has succeeded, so the TCP handshake is complete.
     pub(crate) established: bool,
-    /// Read to its end, broken, or carrying what is not HTTP.
+    /// Reached the end of the stream, failed, or received malformed HTTP.
     pub(crate) ended: bool,
 }
 
 impl Connection {
     pub(crate) fn new(stream: TcpStream) -> Self {
-        // It only saves a delay, and is refused only where the peer is already gone, which the next read finds.
+        // TCP_NODELAY only reduces latency. It fails only if the peer has disconnected, which the next read reports.
         let _ = stream.set_nodelay(true);
         Connection {
             stream,
@@ -77,8 +76,8 @@
         }
     }
 
-    /// Reads whatever has arrived.
-    pub(crate) fn fill(&mut self) {
+    /// Reads all available bytes into the input buffer.
+    pub(crate) fn read_available(&mut self) {
         let mut chunk = [0; READ_SIZE];
         loop {
             match self.stream.read(&mut chunk) {
@@ -93,26 +92,26 @@
         }
     }
 
-    /// Takes out the next complete request. A malformed one ends the connection.
+    /// Removes the next complete request from the input buffer. A malformed one ends the connection.
     pub(crate) fn take_request(&mut self) -> Option<Request> {
         let mut storage = [httparse::EMPTY_HEADER; MAX_HEADERS];
         let mut parsed = httparse::Request::new(&mut storage);
         let status = parsed.parse(&self.input);
         let path = parsed.path.unwrap_or_default().to_string();
         let headers = Headers::new(parsed.headers);
-        let head_length = self.complete(status)?;
+        let head_length = self.head_length_if_complete(status)?;
         self.take_body(head_length, &headers)?;
         Some(Request { path, headers })
     }
 
-    /// Takes out the next complete response. A malformed one ends the connection.
+    /// Removes the next complete response from the input buffer. A malformed one ends the connection.
     pub(crate) fn take_response(&mut self) -> Option<Response> {
         let mut storage = [httparse::EMPTY_HEADER; MAX_HEADERS];
         let mut parsed = httparse::Response::new(&mut storage);
         let status = parsed.parse(&self.input);
         let code = parsed.code.unwrap_or(0);
         let headers = Headers::new(parsed.headers);
-        let head_length = self.complete(status)?;
+        let head_length = self.head_length_if_complete(status)?;
         let body = self.take_body(head_length, &headers)?;
         Some(Response {
             status: code,
@@ -121,8 +120,8 @@
         })
     }
 
-    /// The length of a message's head, once all of it is there.
-    fn complete(&mut self, parsed: httparse::Result<usize>) -> Option<usize> {
+    /// Returns the length of a message's headers once they are complete.
+    fn head_length_if_complete(&mut self, parsed: httparse::Result<usize>) -> Option<usize> {
         match parsed {
             Ok(httparse::Status::Complete(length)) => Some(length),
             Ok(httparse::Status::Partial) => None,
@@ -133,7 +132,7 @@
         }
     }
 
-    /// Takes a message out of the input once its body is complete. Returns the body.
+    /// Removes a message from the input buffer once its body is complete, and returns the body.
     fn take_body(&mut self, head_length: usize, headers: &Headers) -> Option<Vec<u8>> {
         let length = head_length + headers.content_length();
         if self.input.len() < length {
@@ -142,13 +141,13 @@
         Some(self.input.drain(..length).skip(head_length).collect())
     }
 
-    /// Queues a message and writes as much as can be written now.
+    /// Appends a message to the output buffer and flushes without blocking.
     pub(crate) fn send(&mut self, message: &str) {
         self.output.extend(message.as_bytes());
         self.flush();
     }
 
-    /// Writes what can be written now.
+    /// Writes as much of the output buffer as the socket accepts.
     pub(crate) fn flush(&mut self) {
         while !self.output.is_empty() {
             match self.stream.write(&self.output) {
--- a/fault-injection/src/harness/event_loop.rs
+++ b/fault-injection/src/harness/event_loop.rs
@@ -233,7 +233,7 @@
             };
             let connection = &mut open.connection;
             connection.flush();
-            connection.fill();
+            connection.read_available();
             match open.role {
                 Role::Endpoint { endpoint, proxy } => {
                     let Some(request) = connection.take_request() else {
--- a/fault-injection/src/lib.rs
+++ b/fault-injection/src/lib.rs
@@ -1,7 +1,6 @@
-//! Fault injection for clusters: several proxy processes on one machine, with what they need around them (endpoints,
-//! discovery, clients, and a relay in front of each proxy's cluster port), all in one thread of the caller's and on
-//! loopback. Faults are put between them by call or by script. Every rule is checked over all proxies together, by
-//! what endpoints and clients saw. docs/rig.md has the designs that were considered.
+//! Fault injection for clusters: several proxy processes on the loopback interface of one machine. Simulated endpoints,
+//! discovery, clients and a relay in front of each proxy's cluster port run in the caller's thread. Faults are injected
+//! by method calls or by a script. Invariants are checked across all proxies, from what endpoints and clients observe.
 
 mod connection;
 mod due_queue;
--- a/fault-injection/src/proxy_process.rs
+++ b/fault-injection/src/proxy_process.rs
@@ -1,4 +1,4 @@
-//! A proxy process: its files, its start, the signals sent to it, and what its admin API answers.
+//! Management of a proxy process: its files, start, signals, resource usage and admin API.
 
 use rustix::process::{kill_process, Pid, Signal};
 use serde_json::{json, Value};
@@ -12,46 +12,46 @@
 use crate::open_descriptors;
 use crate::ports::free_port;
 
-/// The admin API answers within a turn of its event loop; a busy machine may take a while to get there.
+/// Allows for a busy machine; the admin API itself responds within one iteration of the event loop.
 const ADMIN_TIMEOUT: Duration = Duration::from_millis(1000);
-/// The unit in which `/proc` counts processor time.
+/// The unit of processor time in `/proc`.
 const CPU_TICK_MS: f64 = 10.0;
 
-/// `limits.memory_mb` of each proxy's configuration.
+/// `limits.memory_mb` in each proxy's configuration.
 pub(crate) const MEMORY_MB: usize = 192;
-/// `limits.sockets` of each proxy's configuration, if the run has no other.
+/// The default for `limits.sockets` in each proxy's configuration.
 const DEFAULT_SOCKETS: usize = 1024;
 
 /// How the proxies of a cluster are started.
 #[derive(Clone, Debug)]
 pub struct Start {
-    /// The program of a proxy.
+    /// The proxy executable.
     pub program: PathBuf,
-    /// Where all files of the run are written. It is removed with the harness.
+    /// The directory for all files of the run. The harness removes it when dropped.
     pub folder: PathBuf,
-    /// Whether the proxies form a cluster: with an operator's file, or without.
+    /// Whether the proxies form a cluster, which requires an operator configuration file.
     pub cluster: bool,
-    /// How many of the proxies are seeds of all.
+    /// The number of proxies that serve as seeds for all proxies.
     pub seeds: usize,
-    /// The number of proxies according to the settings, if it is not the true one.
+    /// The number of proxies that the settings announce, if it differs from the actual number.
     pub configured_proxies: Option<usize>,
-    /// Seeds the harness and, with its number, each proxy.
+    /// The random seed of the harness. Each proxy's seed is derived from it and the proxy's number.
     pub seed: u64,
-    /// How many descriptors each proxy may hold, if not as many as usual.
+    /// Limits of open descriptors for each proxy, if not the defaults.
     pub descriptors: Option<DescriptorLimits>,
 }
 
-/// How many descriptors a proxy may hold.
+/// Limits of open descriptors for a proxy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct DescriptorLimits {
-    /// `limits.sockets` of its configuration.
+    /// `limits.sockets` in its configuration.
     pub configured: usize,
-    /// The system's limit.
+    /// The resource limit of the process (`ulimit -n`).
     pub system: usize,
 }
 
 impl Start {
-    /// Starts this program as a cluster, with the files of the run in this folder.
+    /// Options for a cluster of this program, with the files of the run in this directory.
     pub fn new(program: impl Into<PathBuf>, folder: impl Into<PathBuf>) -> Self {
         Start {
             program: program.into(),
@@ -65,28 +65,28 @@
     }
 }
 
-/// One proxy of the run, whether its process runs or not.
+/// A proxy of the run, whether or not its process is running.
 pub struct ProxyProcess {
-    /// Where it listens for clients.
+    /// The address for clients.
     pub listen: SocketAddr,
-    /// Where its admin API listens.
+    /// The address of the admin API.
     pub admin: SocketAddr,
-    /// Where the admin API of a newer process listens that is not ready yet.
+    /// The admin address of a newer process, until that is ready.
     pub(crate) newer_admin: Option<SocketAddr>,
-    /// Where it listens for the datagrams of the cluster.
+    /// The address for cluster datagrams.
     pub cluster_listen: SocketAddr,
-    /// The relay in front of that, which the others are told.
+    /// The address of the relay in front of `cluster_listen`, which the proxy advertises.
     pub advertised: SocketAddr,
-    /// Stopped by SIGSTOP.
+    /// Whether the process is stopped by SIGSTOP.
     pub stopped: bool,
-    /// Its name in the operator's file, if that differs from the one in its configuration.
+    /// The name in the operator configuration, if it differs from the one in the proxy's configuration.
     pub name: Option<String>,
     folder: PathBuf,
     program: PathBuf,
     cluster: bool,
     descriptors: Option<DescriptorLimits>,
     child: Option<Child>,
-    /// The process that a newer one has taken over from, until it has ended.
+    /// The process that a newer one replaces, until it has exited.
     older: Option<Child>,
 }
 
@@ -98,7 +98,7 @@
         advertised: SocketAddr,
     ) -> Self {
         let folder = start.folder.join(format!("node-{number}"));
-        fs::create_dir_all(&folder).expect("a folder for the run that may be written to");
+        fs::create_dir_all(&folder).expect("the run's directory is writable");
         ProxyProcess {
             listen: free_port(),
             admin: free_port(),
@@ -116,23 +116,23 @@
         }
     }
 
-    fn write(&self, file: &str, text: &str) {
-        fs::write(self.folder.join(file), text).expect("the run's folder may be written to");
+    fn write_file(&self, file: &str, text: &str) {
+        fs::write(self.folder.join(file), text).expect("the run's directory is writable");
     }
 
-    /// Writes its configuration, its operator's file and its keys anew.
+    /// Writes its configuration, its operator configuration and its key files, replacing earlier ones.
     pub(crate) fn write_configuration(
         &self,
         configuration: &Value,
         seeds: &[SocketAddr],
         keys: &[&str],
     ) {
-        self.write("configuration.json", &configuration.to_string());
+        self.write_file("configuration.json", &configuration.to_string());
         let key_files: Vec<String> = (0..keys.len())
             .map(|number| format!("key-{number}"))
             .collect();
         for (file, key) in key_files.iter().zip(keys) {
-            self.write(file, key);
+            self.write_file(file, key);
         }
         let seeds: Vec<String> = seeds.iter().map(ToString::to_string).collect();
         let name = self
@@ -144,24 +144,24 @@
             self.cluster_listen.to_string(),
             self.advertised.to_string()
         );
-        self.write("operator.toml", &operator_file);
+        self.write_file("operator.toml", &operator_file);
     }
 
-    /// Starts its process, with the state of its last one or with none.
+    /// Starts its process, with the persistent state of the last one or with none.
     pub(crate) fn start(&mut self, keep_state: bool) {
-        assert!(self.child.is_none(), "one process for each proxy");
+        assert!(self.child.is_none(), "the proxy already has a process");
         let state = self.folder.join("state");
         if !keep_state {
-            // On the first start there is none.
+            // There is no state before the first start.
             let _ = fs::remove_dir_all(&state);
         }
-        fs::create_dir_all(&state).expect("the run's folder may be written to");
+        fs::create_dir_all(&state).expect("the run's directory is writable");
         self.child = Some(self.spawn());
         self.stopped = false;
     }
 
-    /// Starts a newer process beside the running one, as in an upgrade. The caller has given it an address for its
-    /// admin API in the configuration.
+    /// Starts a newer process beside the running one, as in an upgrade. The configuration must already contain the
+    /// newer process's admin address.
     pub(crate) fn start_newer(&mut self) {
         self.kill_older();
         self.older = self.child.take();
@@ -173,7 +173,7 @@
             .create(true)
             .append(true)
             .open(self.folder.join("log"))
-            .expect("the run's folder may be written to");
+            .expect("the run's directory is writable");
         let mut command = self.command();
         command
             .env("BALANCER_CONFIG", self.folder.join("configuration.json"))
@@ -192,9 +192,9 @@
             .unwrap_or_else(|error| panic!("{}: {error}", self.program.display()))
     }
 
-    /// The program, under the system's limit of descriptors if it has one of its own.
+    /// Returns the command that starts the program, through a shell with `ulimit` if descriptors are limited.
     fn command(&self) -> Command {
-        // The proxy itself starts no processes, which is why the method is disallowed; the harness has to.
+        // `Command::new` is disallowed because the proxy must not start processes; the harness must.
         #[allow(clippy::disallowed_methods)]
         let new_command = |program: &Path| Command::new(program);
         let Some(limits) = self.descriptors else {
@@ -207,50 +207,50 @@
     }
 
     fn signal(&self, signal: Signal) {
-        let pid = self.child.as_ref().and_then(pid);
+        let pid = self.child.as_ref().and_then(process_id);
         if let Some(pid) = pid {
-            // It fails only for a process that has ended, which `runs` finds.
+            // This fails only if the process has exited, which `runs` reports.
             let _ = kill_process(pid, signal);
         }
     }
 
-    /// SIGKILL, and waits for its end.
+    /// Sends SIGKILL and waits for the process to exit.
     pub(crate) fn kill(&mut self) {
         if let Some(mut child) = self.child.take() {
-            // Both fail only for a process that is gone, which is what is wanted.
+            // Both fail only if the process has already exited.
             let _ = child.kill();
             let _ = child.wait();
         }
         self.stopped = false;
     }
 
-    /// SIGSTOP.
+    /// Sends SIGSTOP.
     pub(crate) fn stop(&mut self) {
         self.signal(Signal::STOP);
         self.stopped = true;
     }
 
-    /// SIGCONT.
+    /// Sends SIGCONT.
     pub(crate) fn resume(&mut self) {
         self.signal(Signal::CONT);
         self.stopped = false;
     }
 
-    /// SIGTERM: graceful shutdown.
+    /// Sends SIGTERM, for a graceful shutdown.
     pub(crate) fn terminate(&self) {
         self.signal(Signal::TERM);
     }
 
-    /// SIGTERM to the process that a newer one has taken over from.
+    /// Sends SIGTERM to the process that a newer one replaces.
     pub(crate) fn terminate_older(&self) {
-        let pid = self.older.as_ref().and_then(pid);
+        let pid = self.older.as_ref().and_then(process_id);
         if let Some(pid) = pid {
-            // It fails only for a process that has ended already, as it may.
+            // This fails only if the process has already exited, which is allowed.
             let _ = kill_process(pid, Signal::TERM);
         }
     }
 
-    /// SIGKILL to the process that a newer one has taken over from, and waits for its end.
+    /// Sends SIGKILL to the process that a newer one replaces, and waits for it to exit.
     pub(crate) fn kill_older(&mut self) {
         if let Some(mut older) = self.older.take() {
             let _ = older.kill();
@@ -258,46 +258,46 @@
         }
     }
 
-    /// Whether it has had two processes since the last upgrade.
+    /// Whether the process replaced by the last upgrade is still tracked.
     pub(crate) fn has_older(&self) -> bool {
         self.older.is_some()
     }
 
-    /// SIGUSR1: logs its counters.
+    /// Sends SIGUSR1, on which the proxy logs its counters.
     pub(crate) fn log_counters(&self) {
         self.signal(Signal::USR1);
     }
 
-    /// SIGHUP: reads its configuration again.
+    /// Sends SIGHUP, on which the proxy reloads its configuration.
     pub fn reload(&self) {
         self.signal(Signal::HUP);
     }
 
-    /// Whether its process runs.
+    /// Whether its process is running.
     pub fn runs(&mut self) -> bool {
-        let ended = self
+        let exited = self
             .child
             .as_mut()
             .is_some_and(|child| matches!(child.try_wait(), Ok(Some(_))));
-        if ended {
+        if exited {
             self.child = None;
         }
         self.child.is_some()
     }
 
-    /// The number of descriptors that its process holds; `None` once it has ended.
+    /// Returns the number of open descriptors of its process; `None` once that has exited.
     pub(crate) fn open_descriptors(&self) -> Option<usize> {
         let id = self.child.as_ref()?.id();
         Some(fs::read_dir(format!("/proc/{id}/fd")).ok()?.count())
     }
 
-    /// What the descriptors of its process are, in words.
+    /// Describes the open descriptors of its process.
     pub(crate) fn describe_descriptors(&self) -> Vec<String> {
         let id = self.child.as_ref().map_or(0, Child::id);
         open_descriptors::describe(id)
     }
 
-    /// The most memory that its process has held, in kB, as the system counts; `None` once it has ended.
+    /// Returns the peak resident memory of its process in kB; `None` once that has exited.
     pub(crate) fn peak_memory_kb(&self) -> Option<usize> {
         let id = self.child.as_ref()?.id();
         let status = fs::read_to_string(format!("/proc/{id}/status")).ok()?;
@@ -307,20 +307,21 @@
         peak.trim().trim_end_matches(" kB").parse().ok()
     }
 
-    /// Cuts its configuration file short in the middle, as a writer that dies would leave it.
-    pub(crate) fn cut_configuration_short(&self) {
+    /// Truncates its configuration file, as an interrupted write would.
+    pub(crate) fn truncate_configuration(&self) {
         let path = self.folder.join("configuration.json");
-        let text = fs::read_to_string(path).expect("it was written before the start");
-        self.write("configuration.json", &text[..text.len() / 2]);
+        let text =
+            fs::read_to_string(path).expect("the configuration was written before the start");
+        self.write_file("configuration.json", &text[..text.len() / 2]);
     }
 
-    /// Milliseconds of processor time that its process has used, as the system counts them.
+    /// Returns the processor time that its process has used, in milliseconds.
     pub(crate) fn cpu_ms(&self) -> f64 {
         let id = self.child.as_ref().map_or(0, Child::id);
-        // A process that has ended has no such file, and counts as nothing.
+        // The file is gone once the process has exited, which counts as 0.
         let stat = fs::read_to_string(format!("/proc/{id}/stat")).unwrap_or_default();
-        // The process's name, in parentheses, may hold anything; user and system time are the 12th and 13th
-        // fields behind it.
+        // The process name, in parentheses, may contain any character. User and system time are the 12th and 13th
+        // fields after it.
         let fields = stat.rsplit_once(')').map_or("", |(_, fields)| fields);
         let ticks: f64 = fields
             .split_whitespace()
@@ -331,12 +332,12 @@
         ticks * CPU_TICK_MS
     }
 
-    /// What it has logged since the run began; nothing if it was never started.
+    /// Returns the log of all its processes in this run; empty if none was started.
     pub fn log(&self) -> String {
         fs::read_to_string(self.folder.join("log")).unwrap_or_default()
     }
 
-    /// The body that its admin API answers a GET with; `None` if it does not answer with 200.
+    /// Sends a GET to its admin API. Returns the body, or `None` without a 200 response.
     pub fn admin_get(&self, path: &str) -> Option<String> {
         let mut stream = TcpStream::connect_timeout(&self.admin, ADMIN_TIMEOUT).ok()?;
         stream.set_read_timeout(Some(ADMIN_TIMEOUT)).ok()?;
@@ -349,12 +350,12 @@
         head.starts_with("HTTP/1.1 200").then(|| body.to_string())
     }
 
-    /// Its `/fleet` page; `None` if it does not answer.
+    /// Returns the response of `/fleet` on its admin API, if there is a valid one.
     pub fn page(&self) -> Option<Value> {
         serde_json::from_str(&self.admin_get("/fleet")?).ok()
     }
 
-    /// Its configuration in the platform's form.
+    /// Builds its configuration in the platform's format.
     pub(crate) fn configuration(
         &self,
         number: usize,
@@ -365,17 +366,17 @@
         let sockets = self
             .descriptors
             .map_or(DEFAULT_SOCKETS, |limits| limits.configured);
-        let own_seed = seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) ^ number as u64;
+        let proxy_seed = seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) ^ number as u64;
         json!({
             "name": format!("node-{number}"), "listen": self.listen.to_string(),
             "discovery": discovery.to_string(), "admin_addr": self.admin.to_string(),
-            "seed": format!("{own_seed:016x}"),
+            "seed": format!("{proxy_seed:016x}"),
             "limits": {"cores": 1.0, "memory_mb": MEMORY_MB, "sockets": sockets}, "known": null, "settings": settings
         })
     }
 }
 
-fn pid(child: &Child) -> Option<Pid> {
+fn process_id(child: &Child) -> Option<Pid> {
     Pid::from_raw(child.id() as i32)
 }
 
--- a/fault-injection/src/relays.rs
+++ b/fault-injection/src/relays.rs
@@ -1,5 +1,5 @@
-//! Relays of UDP datagrams between proxies. Each proxy advertises the address of its relay instead of its own, so
-//! that the relay can lose, delay, duplicate, corrupt or replay what the others send to it.
+//! UDP relays between proxies. Each proxy advertises its relay's address instead of its own, so that the relay can
+//! drop, delay, duplicate, corrupt or replay the datagrams of other proxies.
 
 use crate::due_queue::DueQueue;
 use mio::net::UdpSocket;
@@ -10,56 +10,56 @@
 use std::io;
 use std::net::{Ipv4Addr, SocketAddr};
 
-/// Datagrams that are recorded for a replay.
-const RECORDED_DATAGRAMS: usize = 4000;
-const LONGEST_DATAGRAM: usize = 2048;
+/// The number of latest datagrams that are kept for replay.
+const MAX_RECORDED_DATAGRAMS: usize = 4000;
+const MAX_DATAGRAM_SIZE: usize = 2048;
 
-/// What happens to datagrams from one proxy to another.
+/// The faults on the network path from one proxy to another.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct PathFaults {
-    /// The fraction of datagrams that is lost.
+    /// The fraction of datagrams that are dropped.
     pub loss: f64,
-    /// The fraction that is delivered twice.
+    /// The fraction of datagrams that are delivered twice.
     pub duplicated: f64,
-    /// The fraction of which one bit is flipped.
+    /// The fraction of datagrams in which one bit is flipped.
     pub corrupted: f64,
-    /// How late each is delivered. Up to as much again is added at random, so that later ones overtake.
+    /// The minimum delay. Each datagram's delay is drawn from one to two times this, so that datagrams are reordered.
     pub delay_ms: f64,
-    /// Nothing passes.
+    /// Whether all datagrams are dropped.
     pub cut: bool,
 }
 
 /// The relay in front of one proxy.
 struct Relay {
     socket: UdpSocket,
-    /// Where its proxy listens.
+    /// The proxy's own cluster address.
     proxy_address: SocketAddr,
 }
 
-/// A datagram on its way to a proxy.
+/// A datagram and the index of the proxy that receives it.
 struct Datagram {
     to: usize,
     bytes: Vec<u8>,
 }
 
-/// A datagram that may be replayed.
-struct Recorded {
+/// A datagram that was received for a proxy and can be replayed.
+struct RecordedDatagram {
     at_ms: f64,
     datagram: Datagram,
 }
 
-/// The relays of all proxies, with the faults on the paths between them.
+/// The relays of all proxies and the faults on the paths between them.
 #[derive(Default)]
 pub struct PathRelays {
     relays: Vec<Relay>,
     faults: BTreeMap<(usize, usize), PathFaults>,
     delayed: DueQueue<Datagram>,
-    recorded: VecDeque<Recorded>,
+    recorded: VecDeque<RecordedDatagram>,
     forwarded_bytes: u64,
 }
 
 impl PathRelays {
-    /// Adds a relay for the proxy that listens at this address. Returns the address for it to advertise.
+    /// Adds a relay for the proxy that listens at this address. Returns the address that the proxy advertises.
     pub(crate) fn add(
         &mut self,
         proxy_address: SocketAddr,
@@ -81,18 +81,18 @@
         self.faults.insert((from, to), faults);
     }
 
-    /// Receives what waits at one relay, and forwards what is due.
+    /// Receives all datagrams that are waiting at a relay, then forwards those that are due.
     pub(crate) fn receive(&mut self, now_ms: f64, to: usize, random: &mut ChaCha8Rng) {
-        let mut buffer = [0; LONGEST_DATAGRAM];
-        // Any error means that nothing more is there: an unconnected socket reports none of its peers'.
+        let mut buffer = [0; MAX_DATAGRAM_SIZE];
+        // Any error means that no datagram is left, since an unconnected socket reports no errors of its peers.
         while let Ok((length, sender)) = self.relays[to].socket.recv_from(&mut buffer) {
-            self.queue(now_ms, sender, to, &buffer[..length], random);
+            self.enqueue(now_ms, sender, to, &buffer[..length], random);
         }
         self.forward_due(now_ms);
     }
 
-    /// Queues a datagram with whatever the path's faults do to it.
-    fn queue(
+    /// Applies the path's faults to a datagram and queues the result.
+    fn enqueue(
         &mut self,
         now_ms: f64,
         sender: SocketAddr,
@@ -107,8 +107,8 @@
         let mut bytes = received.to_vec();
         self.record(now_ms, to, bytes.clone());
         if random.random::<f64>() < faults.corrupted {
-            let at = random.random_range(0..bytes.len().max(1));
-            bytes[at] ^= 1 << random.random_range(0..8);
+            let position = random.random_range(0..bytes.len().max(1));
+            bytes[position] ^= 1 << random.random_range(0..8);
         }
         let duplicated = random.random::<f64>() < faults.duplicated;
         let copies = if duplicated { 2 } else { 1 };
@@ -120,7 +120,7 @@
         }
     }
 
-    /// The faults on a path. Whoever is not one of the proxies has none.
+    /// Returns the faults on a path. Senders other than the proxies have none.
     fn faults_from(&self, sender: SocketAddr, to: usize) -> PathFaults {
         let from = self
             .relays
@@ -133,13 +133,14 @@
 
     fn record(&mut self, at_ms: f64, to: usize, bytes: Vec<u8>) {
         let datagram = Datagram { to, bytes };
-        self.recorded.push_back(Recorded { at_ms, datagram });
-        if self.recorded.len() > RECORDED_DATAGRAMS {
+        self.recorded
+            .push_back(RecordedDatagram { at_ms, datagram });
+        if self.recorded.len() > MAX_RECORDED_DATAGRAMS {
             self.recorded.pop_front();
         }
     }
 
-    /// Forwards the datagrams whose delay is over.
+    /// Forwards the datagrams whose delay has elapsed.
     pub(crate) fn forward_due(&mut self, now_ms: f64) {
         while let Some(datagram) = self.delayed.pop_due(now_ms) {
             self.forwarded_bytes += datagram.bytes.len() as u64;
@@ -155,12 +156,12 @@
         self.forwarded_bytes
     }
 
-    /// Sends a proxy again what was sent to it at least `older_ms` ago. Returns the number of datagrams.
-    pub fn replay(&mut self, now_ms: f64, to: usize, older_ms: f64) -> usize {
+    /// Replays to a proxy the datagrams that it was sent at least `min_age_ms` ago. Returns the number of datagrams.
+    pub fn replay(&mut self, now_ms: f64, to: usize, min_age_ms: f64) -> usize {
         let old: Vec<&Datagram> = self
             .recorded
             .iter()
-            .filter(|recorded| recorded.datagram.to == to && now_ms - recorded.at_ms >= older_ms)
+            .filter(|recorded| recorded.datagram.to == to && now_ms - recorded.at_ms >= min_age_ms)
             .map(|recorded| &recorded.datagram)
             .collect();
         for datagram in &old {
@@ -171,7 +172,7 @@
 
     fn deliver(&self, datagram: &Datagram) {
         let relay = &self.relays[datagram.to];
-        // What the port of a dead proxy refuses is lost, as on any network.
+        // A datagram to a proxy without a running process is lost, as on any network.
         let _ = relay.socket.send_to(&datagram.bytes, relay.proxy_address);
     }
 }
--- a/fault-injection/src/soak/mod.rs
+++ b/fault-injection/src/soak/mod.rs
@@ -136,7 +136,7 @@
 fn reload(harness: &mut Harness, proxy: usize, file: ReloadedFile) {
     match file {
         ReloadedFile::Valid => harness.write_files(proxy),
-        ReloadedFile::CutShort => harness.proxies[proxy].cut_configuration_short(),
+        ReloadedFile::CutShort => harness.proxies[proxy].truncate_configuration(),
         ReloadedFile::DiscoveryMoved => harness.move_discovery(proxy),
     }
     harness.proxies[proxy].reload();
