--- a/fault-injection/src/run/faults.rs
+++ b/fault-injection/src/run/faults.rs
@@ -1,4 +1,4 @@
-//! Injects a script's faults, and records which were in force when.
+//! Injects a script's faults and records when each was active.
 
 use crate::relays::PathFaults;
 use crate::run_script::{Direction, Fault, FaultKind};
@@ -7,12 +7,12 @@
 use rand_chacha::ChaCha8Rng;
 use std::rc::Rc;
 
-/// Gives each fault of a script a random stream of its own.
+/// Derives a separate random seed for each fault of a script.
 const STREAM_MULTIPLIER: u64 = 0x9e37_79b9;
 
-/// A fault with those that it hits.
+/// A fault and the proxies or endpoints that it targets.
 pub(super) struct InjectedFault {
-    /// Its place in the script.
+    /// Its index in the script.
     index: usize,
     fault: Fault,
     targets: Vec<usize>,
@@ -22,7 +22,7 @@
     pub(super) fn new(index: usize, fault: Fault, candidates: usize, seed: u64) -> Self {
         let stream = (index as u64 + 1).wrapping_mul(STREAM_MULTIPLIER);
         let mut random = ChaCha8Rng::seed_from_u64(seed ^ stream);
-        let targets = draw_targets(&fault, candidates, &mut random);
+        let targets = select_targets(&fault, candidates, &mut random);
         InjectedFault {
             index,
             fault,
@@ -34,8 +34,8 @@
         self.targets.iter().position(|target| *target == proxy)
     }
 
-    /// Whether it is about the path from one proxy to another.
-    fn hits_path(&self, from: usize, to: usize) -> bool {
+    /// Whether it applies to the path from one proxy to another.
+    fn affects_path(&self, from: usize, to: usize) -> bool {
         match self.fault.direction {
             Direction::Both => self.targets.contains(&from) || self.targets.contains(&to),
             Direction::Out => self.targets.contains(&from),
@@ -43,45 +43,49 @@
         }
     }
 
-    /// In which group of a partition a proxy is.
+    /// Returns the group of a proxy in a partition.
     fn group(&self, proxy: usize) -> Option<usize> {
         let groups = self.fault.strength as usize;
         self.position(proxy).map(|position| position % groups)
     }
 
-    /// Adds what it does to the path from one proxy to another.
+    /// Adds its effect on the path from one proxy to another.
     fn apply_to_path(&self, from: usize, to: usize, path: &mut PathFaults) {
-        let hit = self.hits_path(from, to);
+        let affected = self.affects_path(from, to);
         let strength = self.fault.strength;
         match self.fault.kind {
-            FaultKind::Loss if hit => path.loss = either(path.loss, strength),
-            FaultKind::Duplicate if hit => path.duplicated = either(path.duplicated, strength),
-            FaultKind::Corrupt if hit => path.corrupted = either(path.corrupted, strength),
-            FaultKind::Delay if hit => path.delay_ms += strength,
-            FaultKind::Cut => path.cut |= hit,
+            FaultKind::Loss if affected => path.loss = probability_of_either(path.loss, strength),
+            FaultKind::Duplicate if affected => {
+                path.duplicated = probability_of_either(path.duplicated, strength)
+            }
+            FaultKind::Corrupt if affected => {
+                path.corrupted = probability_of_either(path.corrupted, strength)
+            }
+            FaultKind::Delay if affected => path.delay_ms += strength,
+            FaultKind::Cut => path.cut |= affected,
             FaultKind::Partition => path.cut |= self.group(from) != self.group(to),
             _ => {}
         }
     }
 }
 
-/// The probability that at least one of two independent events happens.
-fn either(first: f64, second: f64) -> f64 {
+/// Returns the probability that at least one of two independent events occurs.
+fn probability_of_either(first: f64, second: f64) -> f64 {
     1.0 - (1.0 - first) * (1.0 - second)
 }
 
-/// Whom a fault hits: those that it names, or a fraction at random. With one seed, a smaller fraction is part of a
-/// larger one. A partition hits all, in random order.
-fn draw_targets(fault: &Fault, candidates: usize, random: &mut ChaCha8Rng) -> Vec<usize> {
+/// Selects a fault's targets: those it lists, or else a random fraction of the candidates. With the same seed, the
+/// targets of a smaller fraction are a subset of those of a larger one. A partition targets all, in random order.
+fn select_targets(fault: &Fault, candidates: usize, random: &mut ChaCha8Rng) -> Vec<usize> {
     if !fault.targets.is_empty() {
-        let named = fault.targets.iter().copied();
-        return named.filter(|target| *target < candidates).collect();
+        let listed = fault.targets.iter().copied();
+        return listed.filter(|target| *target < candidates).collect();
     }
-    let mut drawn: Vec<(u64, usize)> = (0..candidates)
+    let mut keyed: Vec<(u64, usize)> = (0..candidates)
         .map(|candidate| (random.random(), candidate))
         .collect();
-    drawn.sort_unstable();
-    let shuffled = drawn.into_iter().map(|(_, candidate)| candidate);
+    keyed.sort_unstable();
+    let shuffled = keyed.into_iter().map(|(_, candidate)| candidate);
     if fault.kind == FaultKind::Partition {
         return shuffled.collect();
     }
@@ -91,13 +95,13 @@
     targets
 }
 
-/// A proxy whose process was sent a signal that ends or stops it.
+/// A period in which a proxy's process was killed, stopped or shut down.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) struct Outage {
     pub(super) proxy: usize,
     pub(super) from_ms: f64,
     pub(super) until_ms: f64,
-    /// Whether the others have to find out by themselves: killed or stopped, not shut down.
+    /// Whether other proxies have to detect it: the process was killed or stopped, not shut down gracefully.
     pub(super) unannounced: bool,
 }
 
@@ -107,43 +111,41 @@
     }
 }
 
-/// Proxies that were kept from others.
-struct Cut {
+/// A period in which proxies were cut off from others.
+struct CutPeriod {
     from_ms: f64,
     until_ms: f64,
     proxies: Vec<usize>,
 }
 
-/// The faults of a run: those in force now, and what is to be known of those that are over.
+/// The active faults on paths, and the history of cuts and outages in the run.
 #[derive(Default)]
-pub(super) struct FaultRecord {
+pub(super) struct FaultHistory {
     path_faults: Vec<Rc<InjectedFault>>,
-    cuts: Vec<Cut>,
-    /// When cuts ended.
-    pub(super) healed_ms: Vec<f64>,
+    cut_periods: Vec<CutPeriod>,
+    pub(super) cut_ends_ms: Vec<f64>,
     pub(super) outages: Vec<Outage>,
 }
 
-impl FaultRecord {
-    /// Whether one of two proxies was cut off at a moment, or not long enough before it for the news of that to
-    /// have gone.
-    pub(super) fn cut_off(&self, proxy: usize, other: usize, at_ms: f64, linger_ms: f64) -> bool {
-        self.cuts.iter().any(|cut| {
-            let in_force = cut.from_ms <= at_ms && at_ms < cut.until_ms + linger_ms;
-            in_force && (cut.proxies.contains(&proxy) || cut.proxies.contains(&other))
+impl FaultHistory {
+    /// Whether one of two proxies was cut off at a given time, or less than `grace_ms` before it.
+    pub(super) fn cut_off(&self, proxy: usize, other: usize, at_ms: f64, grace_ms: f64) -> bool {
+        self.cut_periods.iter().any(|cut| {
+            let active = cut.from_ms <= at_ms && at_ms < cut.until_ms + grace_ms;
+            active && (cut.proxies.contains(&proxy) || cut.proxies.contains(&other))
         })
     }
 
-    /// Whether a proxy had no outage within a span of time.
-    pub(super) fn ran(&self, proxy: usize, from_ms: f64, until_ms: f64) -> bool {
+    /// Whether a proxy had no outage within a time range.
+    pub(super) fn ran_throughout(&self, proxy: usize, from_ms: f64, until_ms: f64) -> bool {
         !self
             .outages
             .iter()
             .any(|outage| outage.proxy == proxy && outage.overlaps(from_ms, until_ms))
     }
 
-    /// Sets every path by all faults in force together.
-    fn set_paths(&self, harness: &mut Harness) {
+    /// Sets the faults of every path from all active faults.
+    fn update_paths(&self, harness: &mut Harness) {
         let proxies = harness.proxies.len();
         for from in 0..proxies {
             for to in (0..proxies).filter(|to| *to != from) {
@@ -163,23 +165,23 @@
             .duration_seconds
             .map_or(f64::INFINITY, |seconds| seconds * 1000.0);
         let until_ms = now_ms + duration_ms;
-        if fault.kind.hits_paths() {
+        if fault.kind.affects_paths() {
             self.path_faults.push(injected.clone());
-            self.set_paths(harness);
+            self.update_paths(harness);
         }
-        if fault.kind.cuts() {
-            self.cuts.push(Cut {
+        if fault.kind.cuts_paths() {
+            self.cut_periods.push(CutPeriod {
                 from_ms: now_ms,
                 until_ms,
                 proxies: injected.targets.clone(),
             });
         }
         for target in injected.targets.iter().copied() {
-            self.begin_at(harness, fault, target, now_ms, until_ms);
+            self.begin_for_target(harness, fault, target, now_ms, until_ms);
         }
     }
 
-    fn begin_at(
+    fn begin_for_target(
         &mut self,
         harness: &mut Harness,
         fault: &Fault,
@@ -228,23 +230,23 @@
     pub(super) fn end(&mut self, harness: &mut Harness, injected: &InjectedFault) {
         self.path_faults
             .retain(|fault| fault.index != injected.index);
-        self.set_paths(harness);
-        if injected.fault.kind.cuts() {
-            self.healed_ms.push(harness.now());
+        self.update_paths(harness);
+        if injected.fault.kind.cuts_paths() {
+            self.cut_ends_ms.push(harness.now());
         }
         for target in injected.targets.iter().copied() {
-            end_at(harness, injected.fault.kind, target);
+            end_for_target(harness, injected.fault.kind, target);
         }
     }
 }
 
-fn end_at(harness: &mut Harness, kind: FaultKind, target: usize) {
+fn end_for_target(harness: &mut Harness, kind: FaultKind, target: usize) {
     match kind {
         FaultKind::Kill => harness.start(target, true),
         FaultKind::KillEmpty => harness.start(target, false),
         FaultKind::Stop => harness.go_on(target),
         FaultKind::Terminate => {
-            // It may still be at its last answers.
+            // The graceful shutdown may not be complete.
             harness.kill(target);
             harness.start(target, true);
         }
--- a/fault-injection/src/run/mod.rs
+++ b/fault-injection/src/run/mod.rs
@@ -1,4 +1,4 @@
-//! Runs a script: starts the proxies, injects the faults at their times, and reports what came of it.
+//! Runs a script: starts the proxies, injects faults under load, and reports the results.
 
 mod faults;
 mod report;
@@ -8,31 +8,31 @@
 use crate::run_script::{FaultKind, RunScript};
 use crate::{Harness, Start};
 use crankmux_simulator::script::Script;
-use faults::{FaultRecord, InjectedFault};
+use faults::{FaultHistory, InjectedFault};
 use std::cell::RefCell;
 use std::rc::Rc;
 
-/// How long all proxies may take to know each other at the start.
+/// How long the proxies may take to form a cluster and accept clients at startup.
 const JOIN_TIMEOUT_MS: f64 = 60_000.0;
-/// How long answers and attempts are looked at after the last request.
+/// How long responses and attempts are observed after the load stops.
 const SETTLE_MS: f64 = 2500.0;
 
 /// Why a run could not be carried out.
 #[derive(Debug, thiserror::Error)]
 pub enum RunError {
-    /// The proxies did not come to know each other, or to accept clients, at the start.
+    /// The proxies did not form a cluster, or did not accept clients, within the timeout.
     #[error(
-        "the processes did not come to know each other within {timeout_ms:.0} ms; the first one's log:\n{first_log}"
+        "the proxies were not ready within {timeout_ms:.0} ms; log of the first proxy:\n{first_log}"
     )]
     NotJoined {
-        /// How long they had.
+        /// The timeout.
         timeout_ms: f64,
-        /// The log of the first process.
+        /// The log of the first proxy.
         first_log: String,
     },
 }
 
-/// What a run was started with.
+/// The parameters of a run.
 #[derive(Clone, Copy, Debug)]
 struct RunParameters {
     seed: u64,
@@ -40,20 +40,20 @@
     configured_proxies: usize,
 }
 
-/// What the proxies used while the load ran, each on average.
+/// The average resource usage of each proxy under load.
 #[derive(Clone, Copy, Debug)]
-struct ResourceUse {
+struct ResourceUsage {
     datagram_bytes_per_second: f64,
     cpu_ms_per_second: f64,
 }
 
-/// Runs a script in an environment.
+/// Runs a script in a simulator environment.
 ///
 /// # Errors
-/// If the processes do not come to know each other at the start.
+/// If the proxies are not ready within the startup timeout.
 ///
 /// # Panics
-/// If the program cannot be started, the system has no free ports, or the run's folder cannot be written to.
+/// If the program cannot be started, no port is free, or the run's directory is not writable.
 pub fn run(script: &RunScript, environment: Script, start: Start) -> Result<Report, RunError> {
     let parameters = RunParameters {
         seed: start.seed,
@@ -73,44 +73,48 @@
         ..start
     };
     let mut harness = Harness::new(environment, start);
-    start_first(&mut harness, script, parameters.cluster)?;
+    start_initial_proxies(&mut harness, script, parameters.cluster)?;
     let joined_ms = harness.now();
     harness.open();
-    let record = schedule_faults(&mut harness, script, parameters.seed);
-    let resource_use = run_load(&mut harness, script);
+    let history = schedule_faults(&mut harness, script, parameters.seed);
+    let resource_usage = run_load(&mut harness, script);
     harness.shut();
     harness.pass(SETTLE_MS);
-    let record = record.borrow();
-    let outcome = report::Outcome {
+    let history = history.borrow();
+    let completed = report::CompletedRun {
         harness: &harness,
         script,
-        record: &record,
+        history: &history,
         parameters,
         joined_ms,
-        resource_use,
+        resource_usage,
     };
-    Ok(outcome.report())
+    Ok(completed.report())
 }
 
-/// Starts all proxies but those that join later, and waits until they are ready.
-fn start_first(harness: &mut Harness, script: &RunScript, cluster: bool) -> Result<(), RunError> {
-    let joining: Vec<usize> = script
+/// Starts all proxies except those that join later, and waits until they are ready.
+fn start_initial_proxies(
+    harness: &mut Harness,
+    script: &RunScript,
+    cluster: bool,
+) -> Result<(), RunError> {
+    let joining_later: Vec<usize> = script
         .faults
         .iter()
         .filter(|fault| fault.kind == FaultKind::Join)
         .flat_map(|fault| fault.targets.clone())
         .collect();
-    let first: Vec<usize> = (0..script.processes)
-        .filter(|proxy| !joining.contains(proxy))
+    let initial: Vec<usize> = (0..script.processes)
+        .filter(|proxy| !joining_later.contains(proxy))
         .collect();
-    for proxy in &first {
+    for proxy in &initial {
         harness.start(*proxy, false);
     }
     let ready = |harness: &mut Harness| {
         if cluster {
-            harness.agree(&first)
+            harness.agree(&initial)
         } else {
-            first.iter().all(|proxy| harness.accepts_clients(*proxy))
+            initial.iter().all(|proxy| harness.accepts_clients(*proxy))
         }
     };
     if harness.until(JOIN_TIMEOUT_MS, ready) {
@@ -122,47 +126,49 @@
     })
 }
 
-/// Has all faults begin and end at their times. Returns the record that they are entered in.
+/// Schedules the start and end of all faults. Returns the history that they are recorded in.
 fn schedule_faults(
     harness: &mut Harness,
     script: &RunScript,
     seed: u64,
-) -> Rc<RefCell<FaultRecord>> {
-    let record = Rc::new(RefCell::new(FaultRecord::default()));
+) -> Rc<RefCell<FaultHistory>> {
+    let history = Rc::new(RefCell::new(FaultHistory::default()));
     for (index, fault) in script.faults.iter().enumerate() {
-        let candidates = if fault.kind.hits_endpoints() {
+        let candidates = if fault.kind.targets_endpoints() {
             harness.endpoint_count()
         } else {
             script.processes
         };
         let injected = Rc::new(InjectedFault::new(index, fault.clone(), candidates, seed));
-        let beginning = injected.clone();
-        let record_at_begin = record.clone();
+        let injected_at_begin = injected.clone();
+        let history_at_begin = history.clone();
         harness.schedule(fault.at_seconds * 1000.0, move |harness| {
-            record_at_begin.borrow_mut().begin(harness, &beginning);
+            history_at_begin
+                .borrow_mut()
+                .begin(harness, &injected_at_begin);
         });
         if let Some(duration_seconds) = fault.duration_seconds {
-            let record_at_end = record.clone();
+            let history_at_end = history.clone();
             let end_seconds = fault.at_seconds + duration_seconds;
             harness.schedule(end_seconds * 1000.0, move |harness| {
-                record_at_end.borrow_mut().end(harness, &injected);
+                history_at_end.borrow_mut().end(harness, &injected);
             });
         }
     }
-    record
+    history
 }
 
-/// Lets the script's time pass. Returns what the proxies used meanwhile.
-fn run_load(harness: &mut Harness, script: &RunScript) -> ResourceUse {
+/// Processes events for the duration of the script. Returns the proxies' resource usage.
+fn run_load(harness: &mut Harness, script: &RunScript) -> ResourceUsage {
     let bytes_before = harness.relays.forwarded_bytes();
     let cpu_before_ms = harness.cpu_ms();
-    let began_ms = harness.now();
+    let start_ms = harness.now();
     harness.pass(script.seconds * 1000.0);
-    let seconds = (harness.now() - began_ms) / 1000.0;
+    let seconds = (harness.now() - start_ms) / 1000.0;
     let proxies = script.processes as f64;
     let bytes = (harness.relays.forwarded_bytes() - bytes_before) as f64;
     let cpu_ms = harness.cpu_ms() - cpu_before_ms;
-    ResourceUse {
+    ResourceUsage {
         datagram_bytes_per_second: bytes / seconds / proxies,
         cpu_ms_per_second: cpu_ms / seconds / proxies,
     }
--- a/fault-injection/src/run_script.rs
+++ b/fault-injection/src/run_script.rs
@@ -1,93 +1,93 @@
-//! A run's script: which environment, how many processes, and which faults between them, from a TOML file.
-//! docs/rig.md lists every key. A script with an error is refused whole, with the line and the key.
+//! Parses a run's TOML script: its environment, the number of processes and the faults. An error names the line and the
+//! key.
 
 use crankmux_simulator::script::{read_validated, InvalidKey, ScriptError};
 use serde::Deserialize;
 use std::ops::RangeInclusive;
 
-const MOST_PROCESSES: usize = 200;
-/// Into how many groups a split may cut the proxies.
-const SPLIT_GROUPS: RangeInclusive<f64> = 2.0..=20.0;
+const MAX_PROCESSES: usize = 200;
+/// The number of groups that a partition may have.
+const PARTITION_GROUPS: RangeInclusive<f64> = 2.0..=20.0;
 
-/// What a run is to do.
+/// The script of a run.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RunScript {
-    /// What reports call it.
+    /// The name in reports.
     pub name: String,
-    /// What it is for.
+    /// A description.
     #[serde(default)]
     pub about: String,
-    /// The simulator's script whose endpoints, request classes, obligations and load this run has. The faults of
-    /// that script are not injected.
+    /// The simulator script that defines endpoints, request classes, obligations and load. Its faults are not
+    /// injected.
     #[serde(rename = "world")]
     pub environment: String,
     /// The number of proxies.
     pub processes: usize,
-    /// How long the run lasts, from the moment at which all proxies know each other.
+    /// The duration of the load, from the time at which the proxies are ready.
     pub seconds: f64,
-    /// The number of proxies according to the settings, if it is not that of the processes.
+    /// The number of proxies that the settings announce, if it differs from `processes`.
     #[serde(rename = "told")]
     pub configured_proxies: Option<usize>,
-    /// Requests a second from all clients, if it is not the environment's.
+    /// Requests per second of all clients together, if it differs from the environment's.
     pub rate: Option<f64>,
-    /// What goes wrong, and when.
+    /// The faults to inject.
     #[serde(default)]
     pub faults: Vec<Fault>,
 }
 
-/// What goes wrong. Where a fault has a strength, its comment says what that counts.
+/// The kind of a fault. The unit of `strength` depends on the kind.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "kebab-case")]
 pub enum FaultKind {
-    /// SIGKILL; started again at the fault's end, with the state it had.
+    /// SIGKILL; at the fault's end, the proxy is restarted with its persistent state.
     Kill,
-    /// SIGKILL; started again at the fault's end, with no state.
+    /// SIGKILL; at the fault's end, the proxy is restarted without its persistent state.
     KillEmpty,
     /// SIGSTOP; SIGCONT at the fault's end.
     Stop,
-    /// SIGTERM; started again at the fault's end.
+    /// SIGTERM; at the fault's end, the proxy is restarted.
     Terminate,
-    /// Proxies that are started only now.
+    /// Starts proxies that were not started at the beginning.
     Join,
-    /// A fraction of the datagrams is lost.
+    /// Drops a fraction of the datagrams.
     Loss,
-    /// A fraction of the datagrams is delivered twice.
+    /// Delivers a fraction of the datagrams twice.
     #[serde(rename = "twice")]
     Duplicate,
-    /// A fraction of the datagrams has a bit flipped.
+    /// Flips one bit in a fraction of the datagrams.
     #[serde(rename = "garble")]
     Corrupt,
-    /// Datagrams are late by so many milliseconds.
+    /// Delays datagrams by at least `strength` milliseconds.
     Delay,
-    /// No datagram passes.
+    /// Drops all datagrams.
     Cut,
-    /// All proxies fall into so many groups that do not reach each other.
+    /// Divides the proxies into `strength` groups that cannot reach each other.
     #[serde(rename = "split")]
     Partition,
-    /// Datagrams from so many seconds ago are delivered again.
+    /// Replays datagrams that are at least `strength` seconds old.
     #[serde(rename = "repeat")]
     Replay,
-    /// So many datagrams of garbage a second.
+    /// Sends `strength` random datagrams per second.
     Flood,
-    /// Discovery does not answer.
+    /// Discovery does not respond.
     #[serde(rename = "blind")]
     SilentDiscovery,
-    /// Endpoints drain; they are restarted at the fault's end.
+    /// Drains endpoints; at the fault's end, they are restarted.
     Drain,
-    /// Endpoints are replaced by new ones, which have to warm up.
+    /// Replaces endpoints by new instances, which have to warm up.
     #[serde(rename = "renew")]
     Replace,
 }
 
 impl FaultKind {
-    /// Whether it is a fault of endpoints, and not of proxies.
-    pub(crate) fn hits_endpoints(self) -> bool {
+    /// Whether the targets are endpoints instead of proxies.
+    pub(crate) fn targets_endpoints(self) -> bool {
         matches!(self, FaultKind::Drain | FaultKind::Replace)
     }
 
-    /// Whether it is a fault on the paths of datagrams.
-    pub(crate) fn hits_paths(self) -> bool {
+    /// Whether it affects the network paths between proxies.
+    pub(crate) fn affects_paths(self) -> bool {
         matches!(
             self,
             FaultKind::Loss
@@ -99,8 +99,8 @@
         )
     }
 
-    /// Whether it keeps proxies from each other.
-    pub(crate) fn cuts(self) -> bool {
+    /// Whether it blocks paths between proxies.
+    pub(crate) fn cuts_paths(self) -> bool {
         matches!(self, FaultKind::Cut | FaultKind::Partition)
     }
 
@@ -112,16 +112,16 @@
     }
 }
 
-/// Which datagrams of a proxy a fault is about.
+/// The datagrams of a targeted proxy that a fault affects.
 #[derive(Clone, Copy, Debug, Default, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "kebab-case")]
 pub enum Direction {
-    /// Those that it sends and those that are sent to it.
+    /// Both directions.
     #[default]
     Both,
-    /// Those that it sends.
+    /// Datagrams that it sends.
     Out,
-    /// Those that are sent to it.
+    /// Datagrams that are sent to it.
     In,
 }
 
@@ -129,50 +129,50 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Fault {
-    /// What goes wrong.
+    /// Its kind.
     pub kind: FaultKind,
-    /// When it begins, in seconds from the start.
+    /// The start time, in seconds from the start of the load.
     #[serde(rename = "at")]
     pub at_seconds: f64,
-    /// How long it lasts; for good if this is missing.
+    /// The duration; until the end of the run if missing.
     #[serde(rename = "for")]
     pub duration_seconds: Option<f64>,
-    /// The numbers of the proxies, or endpoints, that it hits.
+    /// The indices of the targeted proxies or endpoints.
     #[serde(default, rename = "which")]
     pub targets: Vec<usize>,
-    /// If those are not named, the fraction that is hit, drawn at random.
+    /// The fraction to target at random if `targets` is empty.
     #[serde(default, rename = "part")]
     pub fraction: f64,
-    /// How strong it is, as its kind counts that.
+    /// The magnitude, in the unit of its kind.
     #[serde(default)]
     pub strength: f64,
-    /// Which datagrams it is about.
+    /// The direction of the affected datagrams.
     #[serde(default, rename = "way")]
     pub direction: Direction,
 }
 
-fn wrong<T>(key: impl Into<String>, rule: &'static str) -> Result<T, InvalidKey> {
+fn invalid<T>(key: impl Into<String>, rule: &'static str) -> Result<T, InvalidKey> {
     Err(InvalidKey::rule(key, rule))
 }
 
 impl RunScript {
-    /// Reads a script.
+    /// Parses and validates a script.
     ///
     /// # Errors
-    /// The line and the key of the first thing that is wrong.
+    /// The line and the key of the first error.
     pub fn read(text: &str) -> Result<Self, ScriptError> {
-        read_validated(text, RunScript::check)
+        read_validated(text, RunScript::validate)
     }
 
-    fn check(&self) -> Result<(), InvalidKey> {
-        if self.processes < 1 || self.processes > MOST_PROCESSES {
-            return wrong("processes", "must be 1 to 200");
+    fn validate(&self) -> Result<(), InvalidKey> {
+        if self.processes < 1 || self.processes > MAX_PROCESSES {
+            return invalid("processes", "must be 1 to 200");
         }
         if !(self.seconds > 0.0 && self.seconds.is_finite()) {
-            return wrong("seconds", "must be above 0");
+            return invalid("seconds", "must be above 0");
         }
         for (index, fault) in self.faults.iter().enumerate() {
-            fault.check(self.processes).map_err(|error| InvalidKey {
+            fault.validate(self.processes).map_err(|error| InvalidKey {
                 key: format!("faults.{index}.{}", error.key),
                 ..error
             })?;
@@ -182,22 +182,22 @@
 }
 
 impl Fault {
-    fn check(&self, processes: usize) -> Result<(), InvalidKey> {
+    fn validate(&self, processes: usize) -> Result<(), InvalidKey> {
         if !(self.at_seconds >= 0.0 && self.duration_seconds.is_none_or(|seconds| seconds > 0.0)) {
-            return wrong("at", "must be 0 or more, and for above 0");
+            return invalid("at", "must be 0 or more, and for above 0");
         }
         if !(0.0..=1.0).contains(&self.fraction) {
-            return wrong("part", "must be 0 to 1");
+            return invalid("part", "must be 0 to 1");
         }
-        let unknown_proxy = self.targets.iter().any(|target| *target >= processes);
-        if !self.kind.hits_endpoints() && unknown_proxy {
-            return wrong("which", "names a process that is none of this script's");
+        let has_unknown_proxy = self.targets.iter().any(|target| *target >= processes);
+        if !self.kind.targets_endpoints() && has_unknown_proxy {
+            return invalid("which", "must only list numbers below `processes`");
         }
         if self.kind.strength_is_fraction() && !(0.0..=1.0).contains(&self.strength) {
-            return wrong("strength", "is a part, 0 to 1");
+            return invalid("strength", "must be a fraction from 0 to 1");
         }
-        if self.kind == FaultKind::Partition && !SPLIT_GROUPS.contains(&self.strength) {
-            return wrong("strength", "must be 2 to 20 groups");
+        if self.kind == FaultKind::Partition && !PARTITION_GROUPS.contains(&self.strength) {
+            return invalid("strength", "must be 2 to 20 groups");
         }
         Ok(())
     }
--- a/fault-injection/tests/client_left.rs
+++ b/fault-injection/tests/client_left.rs
@@ -1,11 +1,10 @@
-//! A client that leaves while its request waits is not to be served on: the invariant checker catches a proxy that
-//! does.
+//! The invariant checker detects a proxy that keeps sending attempts after the client has disconnected.
 
 use crankmux_fault_injection::{Harness, Start};
 use crankmux_simulator::invariants::Rule;
 use crankmux_simulator::script::Script;
 
-/// Endpoints too slow for any request, and clients that all leave halfway through its time.
+/// Endpoints that miss every deadline, and clients that all disconnect after half their timeout.
 const ENVIRONMENT: &str = r#"
 name = "left"
 seconds = 10
@@ -30,7 +29,7 @@
 "#;
 
 #[test]
-fn a_proxy_that_retries_for_clients_that_have_left_is_caught() {
+fn a_proxy_that_retries_after_the_client_disconnects_violates_the_invariant() {
     let environment = Script::read(ENVIRONMENT).unwrap_or_else(|error| panic!("{error}"));
     let folder = std::env::temp_dir().join(format!(
         "crankmux-fault-injection-{}-left",
@@ -40,15 +39,15 @@
     start.cluster = false;
     let mut harness = Harness::new(environment, start);
     harness.start_all();
-    // It accepts clients as soon as it has the endpoint list.
+    // The proxy accepts clients as soon as it has the endpoint list.
     harness.pass(500.0);
     harness.open();
-    let caught = harness.until(20_000.0, |harness| {
+    let detected = harness.until(20_000.0, |harness| {
         harness.invariants.counts()[Rule::NoWorkForDepartedClients as usize] > 10
     });
-    assert!(caught, "{:?}", harness.broken());
+    assert!(detected, "{:?}", harness.broken());
     assert!(harness
         .broken()
         .iter()
-        .any(|broken| broken.contains("nobody who has left served on")));
+        .any(|violation| violation.contains("nobody who has left served on")));
 }
--- a/fault-injection/tests/report_json.rs
+++ b/fault-injection/tests/report_json.rs
@@ -1,4 +1,4 @@
-//! Reports keep the form that figures.json has had so far: which fields, in which order.
+//! The JSON format of reports in figures.json is stable: keys and their order.
 
 use crankmux_fault_injection::{Report, Service, Times};
 
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn a_report_in_json_has_the_fields_of_earlier_versions() {
+fn the_json_keys_of_a_report_and_their_order_are_stable() {
     let times = r#"{"count":0,"median":0.0,"p99":0.0,"most":0.0,"never":0}"#;
     let expected = [
         r#"{"name":"x","processes":3,"seconds":5.0,"seed":1,"fleet":true,"told":3,"joined_ms":2.0,"#,
--- a/fault-injection/tests/run_script.rs
+++ b/fault-injection/tests/run_script.rs
@@ -1,4 +1,4 @@
-//! Scripts of runs: which are refused, and what their keys mean.
+//! Parsing and validation of run scripts.
 
 use crankmux_fault_injection::{Direction, FaultKind, RunScript};
 
@@ -13,7 +13,7 @@
 }
 
 #[test]
-fn a_script_with_an_error_is_refused_with_its_key() {
+fn an_invalid_script_is_rejected_with_the_key() {
     assert!(RunScript::read(VALID).is_ok());
     let without_environment = RunScript::read("name = 'x'\nprocesses = 3\n");
     assert!(without_environment
@@ -28,13 +28,16 @@
 }
 
 #[test]
-fn an_error_names_the_line_of_its_key() {
+fn an_error_names_the_line_of_the_key() {
     let message = error_of_fault("kind = 'loss'\nat = 1\nstrength = 20");
-    assert_eq!(message, "line 8: faults.0.strength is a part, 0 to 1");
+    assert_eq!(
+        message,
+        "line 8: faults.0.strength must be a fraction from 0 to 1"
+    );
 }
 
 #[test]
-fn every_fault_has_the_name_that_scripts_use() {
+fn every_fault_kind_has_its_name_in_scripts() {
     let kinds = [
         ("kill", FaultKind::Kill),
         ("kill-empty", FaultKind::KillEmpty),
@@ -62,7 +65,7 @@
 }
 
 #[test]
-fn every_key_of_a_script_is_read() {
+fn every_key_is_parsed() {
     let text = "name = 'x'\nabout = 'y'\nworld = 'fleet'\nprocesses = 3\nseconds = 5\ntold = 4\nrate = 6\n\
                 [[faults]]\nkind = 'loss'\nat = 1\nfor = 2\nwhich = [0]\npart = 0.5\nstrength = 0.25\nway = 'out'\n";
     let script = RunScript::read(text).unwrap();
--- a/fault-injection/tests/soak_plan.rs
+++ b/fault-injection/tests/soak_plan.rs
@@ -1,11 +1,11 @@
-//! The plans of the soak: the same for the same seed, and among the seeds of a short soak all that it is for.
+//! Soak plans are deterministic, and the plans of a range of seeds cover all kinds of runs.
 
 use crankmux_fault_injection::SoakPlan;
 
 const SEEDS: std::ops::RangeInclusive<u64> = 1..=60;
 
 #[test]
-fn the_same_seed_gives_the_same_plan_and_others_give_others() {
+fn equal_seeds_give_equal_plans_and_different_seeds_different_plans() {
     for seed in SEEDS {
         assert_eq!(SoakPlan::of_seed(seed), SoakPlan::of_seed(seed));
         assert_ne!(SoakPlan::of_seed(seed), SoakPlan::of_seed(seed + 1));
@@ -13,7 +13,7 @@
 }
 
 #[test]
-fn some_runs_have_idle_clients_and_fewer_descriptors_and_some_a_cluster() {
+fn plans_cover_idle_clients_descriptor_limits_clusters_and_three_proxies() {
     let plans: Vec<SoakPlan> = SEEDS.map(SoakPlan::of_seed).collect();
     let with_idle_clients: Vec<&SoakPlan> =
         plans.iter().filter(|plan| plan.idle_clients > 0).collect();
