--- a/fault-injection/src/run/mod.rs
+++ b/fault-injection/src/run/mod.rs
@@ -24,7 +24,7 @@
     #[error(
         "the proxies were not ready within {timeout_ms:.0} ms; log of the first proxy:\n{first_log}"
     )]
-    NotJoined {
+    NotReady {
         /// The timeout.
         timeout_ms: f64,
         /// The log of the first proxy.
@@ -120,7 +120,7 @@
     if harness.until(JOIN_TIMEOUT_MS, ready) {
         return Ok(());
     }
-    Err(RunError::NotJoined {
+    Err(RunError::NotReady {
         timeout_ms: JOIN_TIMEOUT_MS,
         first_log: harness.proxies[0].log(),
     })
--- a/fault-injection/src/soak/checks.rs
+++ b/fault-injection/src/soak/checks.rs
@@ -1,67 +1,72 @@
-//! What is judged at the end of a run.
+//! Checks at the end of a soak run.
 
 use super::report::{FailedOperatorCall, Finding, FindingKind, SoakReport};
 use crate::proxy_process::MEMORY_MB;
 use crate::Harness;
 
-/// How long a process may take from its start until it is ready.
-pub(super) const READY_WITHIN_MS: f64 = 10_000.0;
-/// What discovery has to tell counts as told so long after it can be reached.
-const HEARD_WITHIN_MS: f64 = 6000.0;
-/// How late this loop may be, on a machine that is busy.
-const LOOP_LATENESS_MS: f64 = 700.0;
-/// How long a reload may take, and descriptors may take to be closed once nobody uses them.
-const APPLIED_WITHIN_MS: f64 = 3000.0;
-const AT_REST_WITHIN_MS: f64 = 5000.0;
-/// What a proxy logs as it has applied a configuration, and as it panics.
-const RELOAD_APPLIED: &str = "configuration read again";
-const PANIC: &str = "panicked";
+/// How long a process may take to become ready.
+pub(super) const READY_TIMEOUT_MS: f64 = 10_000.0;
+/// How long after discovery recovers a proxy may take to receive the endpoint list.
+const LIST_TIMEOUT_MS: f64 = 6000.0;
+/// Allows for delays of the harness's event loop on a busy machine.
+const EVENT_LOOP_SLACK_MS: f64 = 700.0;
+/// How long a reload may take.
+const RELOAD_TIMEOUT_MS: f64 = 3000.0;
+/// How long a proxy may take to close unused descriptors.
+const DESCRIPTOR_TIMEOUT_MS: f64 = 5000.0;
+/// The log message of a proxy that has applied a configuration.
+const RELOAD_LOG_MESSAGE: &str = "configuration read again";
+/// A part of the log message of a panic.
+const PANIC_LOG_MESSAGE: &str = "panicked";
 
-/// What the checks need to know of the actions.
+/// Actions of the run that the checks depend on.
 #[derive(Default)]
-pub(super) struct SoakRecord {
-    /// When discovery could be reached again, and the version that it had then.
-    recoveries: Vec<(f64, u64)>,
+pub(super) struct DiscoveryRecoveries {
+    /// When discovery recovered, and the version of the endpoint list at that time.
+    times_and_versions: Vec<(f64, u64)>,
 }
 
-impl SoakRecord {
-    pub(super) fn discovery_recovered(&mut self, at_ms: f64, version: u64) {
-        self.recoveries.push((at_ms, version));
+impl DiscoveryRecoveries {
+    pub(super) fn add(&mut self, at_ms: f64, version: u64) {
+        self.times_and_versions.push((at_ms, version));
     }
 }
 
-/// What the proxies held before the load.
-pub(super) struct RestState {
-    /// By proxy. Processes that are started later hold as many.
+/// The numbers of open descriptors before the load.
+pub(super) struct DescriptorBaseline {
+    /// By proxy. It also applies to processes that are started later.
     open_descriptors: Vec<usize>,
 }
 
-impl RestState {
+impl DescriptorBaseline {
     pub(super) fn of(harness: &Harness) -> Self {
         let open_descriptors = harness
             .proxies
             .iter()
             .map(|proxy| proxy.open_descriptors().unwrap_or(0))
             .collect();
-        RestState { open_descriptors }
+        DescriptorBaseline { open_descriptors }
     }
 }
 
-/// Judges a run whose load is over.
-pub(super) fn judge(
+/// Checks a run after its load has stopped.
+pub(super) fn check_run(
     harness: &mut Harness,
     seed: u64,
-    at_rest: &RestState,
-    record: &SoakRecord,
+    baseline: &DescriptorBaseline,
+    recoveries: &DiscoveryRecoveries,
 ) -> SoakReport {
     let mut findings = Vec::new();
-    let rules = harness.broken().into_iter().map(FindingKind::Rule);
+    let rules = harness
+        .broken()
+        .into_iter()
+        .map(FindingKind::InvariantViolation);
     findings.extend(rules.map(|kind| Finding { proxy: None, kind }));
     findings.extend(failed_calls(harness));
     findings.extend(late_readiness(harness));
-    findings.extend(unheard_lists(harness, record));
+    findings.extend(missed_lists(harness, recoveries));
     for proxy in 0..harness.proxies.len() {
-        let kinds = judge_process(harness, proxy, at_rest);
+        let kinds = check_process(harness, proxy, baseline);
         findings.extend(kinds.into_iter().map(|kind| Finding {
             proxy: Some(proxy),
             kind,
@@ -93,26 +98,26 @@
 fn late_readiness(harness: &Harness) -> Vec<Finding> {
     let times = harness.startup_times_ms().into_iter();
     times
-        .filter(|(_, took_ms)| took_ms.is_none_or(|took_ms| took_ms > READY_WITHIN_MS))
-        .map(|(proxy, took_ms)| Finding {
+        .filter(|(_, startup_ms)| startup_ms.is_none_or(|startup_ms| startup_ms > READY_TIMEOUT_MS))
+        .map(|(proxy, startup_ms)| Finding {
             proxy: Some(proxy),
-            kind: FindingKind::NotReady { took_ms },
+            kind: FindingKind::NotReady { startup_ms },
         })
         .collect()
 }
 
-/// Proxies that ran all the time, and heard nothing from discovery in time after it could be reached.
-fn unheard_lists(harness: &Harness, record: &SoakRecord) -> Vec<Finding> {
+/// Finds proxies that ran throughout, but were not sent the endpoint list in time after discovery recovered.
+fn missed_lists(harness: &Harness, recoveries: &DiscoveryRecoveries) -> Vec<Finding> {
     let mut findings = Vec::new();
-    for (recovered_ms, version) in &record.recoveries {
-        let span_ms = *recovered_ms..recovered_ms + HEARD_WITHIN_MS + LOOP_LATENESS_MS;
+    for (recovered_ms, version) in &recoveries.times_and_versions {
+        let range_ms = *recovered_ms..recovered_ms + LIST_TIMEOUT_MS + EVENT_LOOP_SLACK_MS;
         for proxy in 0..harness.proxies.len() {
-            // A process that was started meanwhile asks for the whole list.
-            let ran = !harness.was_restarting_during(proxy, &span_ms);
-            if ran && !harness.was_sent_version(proxy, *version, span_ms.end) {
+            // A process that starts meanwhile requests the complete list.
+            let ran_throughout = !harness.was_restarting_during(proxy, &range_ms);
+            if ran_throughout && !harness.was_sent_version(proxy, *version, range_ms.end) {
                 findings.push(Finding {
                     proxy: Some(proxy),
-                    kind: FindingKind::ListNotHeard { version: *version },
+                    kind: FindingKind::ListNotReceived { version: *version },
                 });
             }
         }
@@ -120,54 +125,64 @@
     findings
 }
 
-fn judge_process(harness: &mut Harness, proxy: usize, at_rest: &RestState) -> Vec<FindingKind> {
+fn check_process(
+    harness: &mut Harness,
+    proxy: usize,
+    baseline: &DescriptorBaseline,
+) -> Vec<FindingKind> {
     let mut kinds = Vec::new();
-    if harness.proxies[proxy].log().contains(PANIC) {
+    if harness.proxies[proxy].log().contains(PANIC_LOG_MESSAGE) {
         kinds.push(FindingKind::Panic);
     }
     if !harness.proxies[proxy].runs() {
-        kinds.push(FindingKind::Ended);
+        kinds.push(FindingKind::Exited);
         return kinds;
     }
     let peak_kb = harness.proxies[proxy].peak_memory_kb().unwrap_or(0);
     if peak_kb > MEMORY_MB * 1024 {
         kinds.push(FindingKind::MemoryExceeded { peak_kb });
     }
-    kinds.extend(last_reload(harness, proxy));
-    kinds.extend(held_descriptors(
+    kinds.extend(check_reload(harness, proxy));
+    kinds.extend(check_descriptors(
         harness,
         proxy,
-        at_rest.open_descriptors[proxy],
+        baseline.open_descriptors[proxy],
     ));
     kinds
 }
 
-/// A valid file is applied, whatever files came before it.
-fn last_reload(harness: &mut Harness, proxy: usize) -> Option<FindingKind> {
-    let applied = |harness: &Harness| {
+/// Checks that a valid configuration is applied after any earlier reloads.
+fn check_reload(harness: &mut Harness, proxy: usize) -> Option<FindingKind> {
+    let reload_count = |harness: &Harness| {
         let log = harness.proxies[proxy].log();
-        log.matches(RELOAD_APPLIED).count()
+        log.matches(RELOAD_LOG_MESSAGE).count()
     };
-    let before = applied(harness);
+    let reloads_before = reload_count(harness);
     harness.write_files(proxy);
     harness.proxies[proxy].reload();
-    let is_applied = harness.until(APPLIED_WITHIN_MS, |harness| applied(harness) > before);
+    let is_applied = harness.until(RELOAD_TIMEOUT_MS, |harness| {
+        reload_count(harness) > reloads_before
+    });
     (!is_applied).then_some(FindingKind::ReloadNotApplied)
 }
 
-/// Once clients have left, a process holds what it held before the load, and kept connections to endpoints.
-fn held_descriptors(harness: &mut Harness, proxy: usize, at_rest: usize) -> Option<FindingKind> {
+/// Checks that, after clients have disconnected, the only additional descriptors are connections to endpoints.
+fn check_descriptors(
+    harness: &mut Harness,
+    proxy: usize,
+    before_load: usize,
+) -> Option<FindingKind> {
     harness.close_idle_connections();
     let excess = |harness: &Harness| {
-        let after = harness.proxies[proxy].open_descriptors()?;
+        let after_load = harness.proxies[proxy].open_descriptors()?;
         let upstream = harness.endpoint_connections(proxy);
-        (after > at_rest + upstream).then_some(FindingKind::DescriptorsHeld {
-            at_rest,
-            after,
+        (after_load > before_load + upstream).then_some(FindingKind::DescriptorsLeaked {
+            before_load,
+            after_load,
             upstream,
             descriptions: harness.proxies[proxy].describe_descriptors(),
         })
     };
-    harness.until(AT_REST_WITHIN_MS, |harness| excess(harness).is_none());
+    harness.until(DESCRIPTOR_TIMEOUT_MS, |harness| excess(harness).is_none());
     excess(harness)
 }
--- a/fault-injection/src/soak/mod.rs
+++ b/fault-injection/src/soak/mod.rs
@@ -1,5 +1,5 @@
-//! A soak: proxies are reloaded, restarted and upgraded under load, while discovery fails, operators call and, in
-//! some runs, idle clients hold the descriptors. Each run follows a plan that its seed draws.
+//! Soak runs: proxies are reloaded, restarted and upgraded under load, with discovery outages, admin calls and, in some
+//! runs, idle clients that exhaust the descriptors. Each run follows a plan generated from its seed.
 
 mod checks;
 mod plan;
@@ -10,7 +10,7 @@
 
 use crate::harness::AdminCall;
 use crate::{Harness, Start};
-use checks::{RestState, SoakRecord};
+use checks::{DescriptorBaseline, DiscoveryRecoveries};
 use crankmux_simulator::script::{Script, ScriptError};
 use plan::{DiscoveryOutage, ReloadedFile, SoakAction, LOAD_MS};
 use std::cell::RefCell;
@@ -18,36 +18,36 @@
 use std::rc::Rc;
 
 const ENVIRONMENT: &str = include_str!("environment.toml");
-/// How long the proxies are left alone before what they hold at rest is counted.
-const BEFORE_LOAD_MS: f64 = 300.0;
-/// How long after the last request answers are awaited: the longest deadline, and what this loop may be late.
+/// How long the proxies stay idle before their descriptors are counted.
+const IDLE_BEFORE_LOAD_MS: f64 = 300.0;
+/// How long responses are awaited after the load stops: the longest deadline plus slack for the event loop.
 const SETTLE_MS: f64 = 2500.0;
 
 /// Why a run could not be carried out.
 #[derive(Debug, thiserror::Error)]
 pub enum SoakError {
-    /// The environment that ships with the program is invalid.
+    /// The built-in environment is invalid.
     #[error(transparent)]
     Environment(#[from] ScriptError),
-    /// A proxy was not ready before the load began.
+    /// A proxy was not ready within the timeout at startup.
     #[error("proxy {proxy} was not ready within {timeout_ms:.0} ms at the start; its log:\n{log}")]
     NotReady {
-        /// Which.
+        /// The index of the proxy.
         proxy: usize,
-        /// How long it had.
+        /// The timeout.
         timeout_ms: f64,
-        /// What it logged.
+        /// Its log.
         log: String,
     },
 }
 
-/// Carries out the run of a seed with this program. The files of the run are in `folder`, which is removed.
+/// Performs the run of a seed with this program. The files of the run are in `folder`, which is removed afterwards.
 ///
 /// # Errors
-/// A proxy is not ready before the load begins.
+/// If a proxy is not ready within the timeout at startup.
 ///
 /// # Panics
-/// If the program cannot be started, the system has no free ports, or the folder cannot be written to.
+/// If the program cannot be started, no port is free, or the directory is not writable.
 pub fn run_soak(seed: u64, program: PathBuf, folder: PathBuf) -> Result<SoakReport, SoakError> {
     let plan = SoakPlan::of_seed(seed);
     let environment = Script {
@@ -63,12 +63,11 @@
     let mut harness = Harness::new(environment, start);
     harness.rate = plan.rate;
     start_all(&mut harness)?;
-    // The last call for readiness may still be answered: a proxy lends a reserved descriptor out for that, and for an
-    // instant holds one less.
-    harness.pass(BEFORE_LOAD_MS);
-    let at_rest = RestState::of(&harness);
-    let record = Rc::new(RefCell::new(SoakRecord::default()));
-    schedule(&mut harness, &plan, &record);
+    // The last readiness check may still be pending, during which a proxy holds one reserved descriptor less.
+    harness.pass(IDLE_BEFORE_LOAD_MS);
+    let baseline = DescriptorBaseline::of(&harness);
+    let recoveries = Rc::new(RefCell::new(DiscoveryRecoveries::default()));
+    schedule_actions(&mut harness, &plan, &recoveries);
     harness.open();
     if plan.idle_clients > 0 {
         harness.start_idle_clients(plan.idle_clients);
@@ -77,8 +76,13 @@
     harness.shut();
     harness.stop_idle_clients();
     harness.pass(SETTLE_MS);
-    let record = record.borrow();
-    Ok(checks::judge(&mut harness, seed, &at_rest, &record))
+    let recoveries = recoveries.borrow();
+    Ok(checks::check_run(
+        &mut harness,
+        seed,
+        &baseline,
+        &recoveries,
+    ))
 }
 
 fn start_all(harness: &mut Harness) -> Result<(), SoakError> {
@@ -86,7 +90,7 @@
     for proxy in 0..proxies {
         harness.start_with_readiness_checks(proxy, false);
     }
-    let timeout_ms = checks::READY_WITHIN_MS;
+    let timeout_ms = checks::READY_TIMEOUT_MS;
     harness.until(timeout_ms, |harness| {
         (0..proxies).all(|proxy| harness.is_ready(proxy))
     });
@@ -100,17 +104,21 @@
     }
 }
 
-fn schedule(harness: &mut Harness, plan: &SoakPlan, record: &Rc<RefCell<SoakRecord>>) {
+fn schedule_actions(
+    harness: &mut Harness,
+    plan: &SoakPlan,
+    recoveries: &Rc<RefCell<DiscoveryRecoveries>>,
+) {
     for planned in &plan.actions {
         let action = planned.action;
-        let record = record.clone();
+        let recoveries = recoveries.clone();
         harness.schedule(planned.at_ms, move |harness| {
-            carry_out(harness, action, &mut record.borrow_mut());
+            execute(harness, action, &mut recoveries.borrow_mut());
         });
     }
 }
 
-fn carry_out(harness: &mut Harness, action: SoakAction, record: &mut SoakRecord) {
+fn execute(harness: &mut Harness, action: SoakAction, recoveries: &mut DiscoveryRecoveries) {
     match action {
         SoakAction::Reload { proxy, file } => reload(harness, proxy, file),
         SoakAction::LogCounters { proxy } => harness.proxies[proxy].log_counters(),
@@ -120,7 +128,7 @@
         SoakAction::DiscoveryFails { outage } => fail_discovery(harness, outage),
         SoakAction::DiscoveryRecovers => {
             harness.recover_discovery();
-            record.discovery_recovered(harness.now(), harness.list_version());
+            recoveries.add(harness.now(), harness.list_version());
         }
         SoakAction::Drain { endpoint } => harness.drain(endpoint),
         SoakAction::RestartEndpoint { endpoint } => harness.restart_endpoint(endpoint),
@@ -136,7 +144,7 @@
 fn reload(harness: &mut Harness, proxy: usize, file: ReloadedFile) {
     match file {
         ReloadedFile::Valid => harness.write_files(proxy),
-        ReloadedFile::CutShort => harness.proxies[proxy].truncate_configuration(),
+        ReloadedFile::Truncated => harness.proxies[proxy].truncate_configuration(),
         ReloadedFile::DiscoveryMoved => harness.move_discovery(proxy),
     }
     harness.proxies[proxy].reload();
--- a/fault-injection/src/soak/plan.rs
+++ b/fault-injection/src/soak/plan.rs
@@ -1,4 +1,4 @@
-//! What happens in a run of a seed. The same seed gives the same plan.
+//! Generates the plan of a soak run from its seed, deterministically.
 
 use crate::proxy_process::DescriptorLimits;
 use rand::{RngExt, SeedableRng};
@@ -6,41 +6,43 @@
 use std::fmt;
 use std::ops::Range;
 
-/// How long clients send requests.
+/// The duration of the load.
 pub(super) const LOAD_MS: f64 = 12_000.0;
-/// When reloads come in series, an outage of discovery begins, proxies are told to end, and one is upgraded.
+/// When a series of reloads begins.
 const RELOADS_MS: Range<f64> = 800.0..1500.0;
-const OUTAGE_MS: Range<f64> = 1500.0..3000.0;
-const SHUTDOWNS_MS: Range<f64> = 3000.0..4500.0;
+/// When an outage of discovery begins.
+const OUTAGE_START_MS: Range<f64> = 1500.0..3000.0;
+/// When proxies are restarted.
+const RESTARTS_MS: Range<f64> = 3000.0..4500.0;
+/// When a proxy is upgraded.
 const UPGRADE_MS: Range<f64> = 8500.0..9000.0;
-/// When an endpoint that is to be disabled during the upgrade is disabled, and enabled again. The proxies that were
-/// restarted are ready by then.
-const BEFORE_UPGRADE_MS: f64 = 8200.0;
-const AFTER_UPGRADE_MS: f64 = 11_200.0;
-/// How long discovery is out.
-const OUTAGE_LENGTH_MS: Range<f64> = 500.0..2500.0;
-/// Between two signals of a series.
-const SIGNAL_INTERVAL_MS: Range<f64> = 2.0..80.0;
-/// Between two calls of an operator.
+/// When an endpoint is disabled and enabled again around the upgrade. Restarted proxies are ready by then.
+const DISABLE_BEFORE_UPGRADE_MS: f64 = 8200.0;
+const ENABLE_AFTER_UPGRADE_MS: f64 = 11_200.0;
+/// The duration of the outage of discovery.
+const OUTAGE_DURATION_MS: Range<f64> = 500.0..2500.0;
+/// The interval between two reloads of the series.
+const RELOAD_INTERVAL_MS: Range<f64> = 2.0..80.0;
+/// The interval between two admin calls to a proxy.
 const CALL_INTERVAL_MS: Range<f64> = 600.0..900.0;
-/// How long after its first SIGTERM a proxy may get another signal.
-const SIGNALS_AROUND_SHUTDOWN_MS: Range<f64> = -20.0..300.0;
-/// How long a drained endpoint takes to come back.
-const DRAIN_MS: f64 = 3000.0;
-/// Requests a second at each proxy.
+/// When further signals may be sent, relative to the first SIGTERM.
+const SIGNAL_OFFSETS_MS: Range<f64> = -20.0..300.0;
+/// The time from the drain of an endpoint to its restart.
+const DRAIN_DURATION_MS: f64 = 3000.0;
+/// Requests per second at each proxy.
 const RATE: Range<f64> = 60.0..250.0;
-const MOST_RELOADS: usize = 8;
-const PROXIES: Range<usize> = 2..4;
-const ENDPOINTS: usize = 6;
+const MAX_RELOADS: usize = 8;
+const PROXY_COUNTS: Range<usize> = 2..4;
+const ENDPOINT_COUNT: usize = 6;
 const IDLE_CLIENTS_FRACTION: f64 = 0.4;
 const CLUSTER_FRACTION: f64 = 0.3;
 const DRAIN_FRACTION: f64 = 0.7;
 
-const USUAL_DESCRIPTORS: DescriptorLimits = DescriptorLimits {
+const DEFAULT_DESCRIPTORS: DescriptorLimits = DescriptorLimits {
     configured: 512,
     system: 1024,
 };
-/// Limits of runs with idle clients, and how many of those are at each proxy.
+/// Combinations of descriptor limits and the number of idle clients per proxy, of which a run uses one.
 const IDLE_CLIENT_RUNS: [(DescriptorLimits, usize); 3] = [
     (
         DescriptorLimits {
@@ -65,46 +67,46 @@
     ),
 ];
 
-/// What a proxy finds in its configuration file as it reads it again.
+/// The state of the configuration file at a reload.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ReloadedFile {
     Valid,
-    /// Its second half is missing.
-    CutShort,
-    /// Valid, with another address of discovery.
+    /// Truncated in the middle.
+    Truncated,
+    /// Valid, with a different discovery address.
     DiscoveryMoved,
 }
 
 /// How discovery fails.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum DiscoveryOutage {
-    /// It accepts polls and answers none.
+    /// It accepts polls but does not respond.
     Silent,
-    /// Its connections are closed, and new ones at once.
+    /// It closes existing connections, and new ones immediately.
     Closed,
 }
 
-/// Something that is done in a run.
+/// An action of a run.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) enum SoakAction {
-    /// SIGHUP, with this file in place.
+    /// Writes the configuration file in this state, then sends SIGHUP.
     Reload {
         proxy: usize,
         file: ReloadedFile,
     },
-    /// SIGUSR1.
+    /// Sends SIGUSR1.
     LogCounters {
         proxy: usize,
     },
-    /// The first SIGTERM; SIGKILL comes at the earliest that is allowed, and then a new start.
+    /// Sends SIGTERM, then SIGKILL at the earliest permitted time, and restarts the proxy.
     Restart {
         proxy: usize,
     },
-    /// A further SIGTERM.
+    /// Sends another SIGTERM during the shutdown.
     TerminateAgain {
         proxy: usize,
     },
-    /// A newer process is started beside it, and takes over.
+    /// Starts a newer process, which takes over from the running one.
     Upgrade {
         proxy: usize,
     },
@@ -118,19 +120,19 @@
     RestartEndpoint {
         endpoint: usize,
     },
-    /// An operator's call.
+    /// Disables an endpoint through the admin API.
     Disable {
         proxy: usize,
         endpoint: usize,
     },
-    /// An operator's call.
+    /// Enables an endpoint through the admin API.
     Enable {
         proxy: usize,
         endpoint: usize,
     },
 }
 
-/// An action with its time, in milliseconds from the first request.
+/// An action and its time, in milliseconds from the start of the load.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) struct PlannedAction {
     pub(super) at_ms: f64,
@@ -144,27 +146,27 @@
     pub proxies: usize,
     /// Whether they form a cluster.
     pub cluster: bool,
-    /// How many descriptors each proxy may hold.
+    /// The limits of open descriptors for each proxy.
     pub descriptors: DescriptorLimits,
-    /// Requests a second at each proxy.
+    /// Requests per second at each proxy.
     pub rate: f64,
-    /// How many idle clients are at each proxy, beside those that send requests.
+    /// The number of idle clients at each proxy, in addition to those that send requests.
     pub idle_clients: usize,
     pub(super) actions: Vec<PlannedAction>,
 }
 
 impl SoakPlan {
-    /// The plan of a seed.
+    /// Generates the plan of a seed.
     pub fn of_seed(seed: u64) -> Self {
         let mut random = ChaCha8Rng::seed_from_u64(seed);
-        let proxies = random.random_range(PROXIES);
+        let proxies = random.random_range(PROXY_COUNTS);
         let has_idle_clients = random.random::<f64>() < IDLE_CLIENTS_FRACTION;
         let cluster = random.random::<f64>() < CLUSTER_FRACTION;
         let rate = random.random_range(RATE);
         let (descriptors, idle_clients) = if has_idle_clients {
             IDLE_CLIENT_RUNS[random.random_range(0..IDLE_CLIENT_RUNS.len())]
         } else {
-            (USUAL_DESCRIPTORS, 0)
+            (DEFAULT_DESCRIPTORS, 0)
         };
         let mut planner = Planner {
             random,
@@ -196,7 +198,7 @@
     }
 }
 
-/// Draws the actions of a plan.
+/// Generates the actions of a plan.
 struct Planner {
     random: ChaCha8Rng,
     proxies: usize,
@@ -209,7 +211,7 @@
         self.plan_outage();
         let restarted = self.plan_restarts();
         let upgraded = self.random.random_range(0..self.proxies);
-        let upgrade_at_ms = self.time_in(UPGRADE_MS);
+        let upgrade_at_ms = self.random_time(UPGRADE_MS);
         self.add(upgrade_at_ms, SoakAction::Upgrade { proxy: upgraded });
         self.plan_calls(&restarted);
     }
@@ -218,95 +220,100 @@
         self.actions.push(PlannedAction { at_ms, action });
     }
 
-    fn time_in(&mut self, range: Range<f64>) -> f64 {
+    fn random_time(&mut self, range: Range<f64>) -> f64 {
         self.random.random_range(range)
     }
 
-    fn reloaded_file(&mut self) -> ReloadedFile {
+    fn random_reloaded_file(&mut self) -> ReloadedFile {
         match self.random.random_range(0..4) {
-            0 => ReloadedFile::CutShort,
+            0 => ReloadedFile::Truncated,
             1 => ReloadedFile::DiscoveryMoved,
             _ => ReloadedFile::Valid,
         }
     }
 
-    /// A series of reloads at one proxy, and SIGUSR1 among them.
+    /// Plans a series of reloads at one proxy that ends with SIGUSR1 and a valid file.
     fn plan_reloads(&mut self) {
         let proxy = self.random.random_range(0..self.proxies);
-        let mut at_ms = self.time_in(RELOADS_MS);
-        for _ in 0..self.random.random_range(3..=MOST_RELOADS) {
-            let file = self.reloaded_file();
+        let mut at_ms = self.random_time(RELOADS_MS);
+        for _ in 0..self.random.random_range(3..=MAX_RELOADS) {
+            let file = self.random_reloaded_file();
             self.add(at_ms, SoakAction::Reload { proxy, file });
-            at_ms += self.time_in(SIGNAL_INTERVAL_MS);
+            at_ms += self.random_time(RELOAD_INTERVAL_MS);
         }
         self.add(at_ms, SoakAction::LogCounters { proxy });
         let file = ReloadedFile::Valid;
         self.add(at_ms, SoakAction::Reload { proxy, file });
     }
 
-    /// Discovery is out for a while, and an endpoint may begin to drain meanwhile.
+    /// Plans an outage of discovery, during which an endpoint may start to drain.
     fn plan_outage(&mut self) {
-        let begins_at_ms = self.time_in(OUTAGE_MS);
-        let ends_at_ms = begins_at_ms + self.time_in(OUTAGE_LENGTH_MS);
+        let start_ms = self.random_time(OUTAGE_START_MS);
+        let end_ms = start_ms + self.random_time(OUTAGE_DURATION_MS);
         let outage = if self.random.random::<f64>() < 0.5 {
             DiscoveryOutage::Silent
         } else {
             DiscoveryOutage::Closed
         };
-        self.add(begins_at_ms, SoakAction::DiscoveryFails { outage });
-        self.add(ends_at_ms, SoakAction::DiscoveryRecovers);
+        self.add(start_ms, SoakAction::DiscoveryFails { outage });
+        self.add(end_ms, SoakAction::DiscoveryRecovers);
         if self.random.random::<f64>() < DRAIN_FRACTION {
-            let endpoint = self.random.random_range(0..ENDPOINTS);
-            let drains_at_ms = self.time_in(begins_at_ms..ends_at_ms);
-            self.add(drains_at_ms, SoakAction::Drain { endpoint });
+            let endpoint = self.random.random_range(0..ENDPOINT_COUNT);
+            let drain_ms = self.random_time(start_ms..end_ms);
+            self.add(drain_ms, SoakAction::Drain { endpoint });
             let restart = SoakAction::RestartEndpoint { endpoint };
-            self.add(drains_at_ms + DRAIN_MS, restart);
+            self.add(drain_ms + DRAIN_DURATION_MS, restart);
         }
     }
 
-    /// Some proxies, but not all, are told to end, mostly at one moment. Returns which, and when.
+    /// Plans the simultaneous restart of some proxies, but not all. Returns them with the time.
     fn plan_restarts(&mut self) -> Vec<(usize, f64)> {
         let count = self.random.random_range(1..self.proxies);
         let first = self.random.random_range(0..self.proxies);
-        let at_ms = self.time_in(SHUTDOWNS_MS);
+        let at_ms = self.random_time(RESTARTS_MS);
         let mut restarted = Vec::new();
         for offset in 0..count {
             let proxy = (first + offset) % self.proxies;
             self.add(at_ms, SoakAction::Restart { proxy });
             restarted.push((proxy, at_ms));
             for _ in 0..self.random.random_range(0..4) {
-                let signal_at_ms = at_ms + self.time_in(SIGNALS_AROUND_SHUTDOWN_MS);
-                let signal = self.signal_around_shutdown(proxy, signal_at_ms > at_ms);
+                let signal_at_ms = at_ms + self.random_time(SIGNAL_OFFSETS_MS);
+                let signal = self.random_signal_around_shutdown(proxy, signal_at_ms > at_ms);
                 self.add(signal_at_ms, signal);
             }
         }
         restarted
     }
 
-    fn signal_around_shutdown(&mut self, proxy: usize, is_shutting_down: bool) -> SoakAction {
+    fn random_signal_around_shutdown(
+        &mut self,
+        proxy: usize,
+        is_shutting_down: bool,
+    ) -> SoakAction {
         match self.random.random_range(0..3) {
             0 => SoakAction::LogCounters { proxy },
             1 if is_shutting_down => SoakAction::TerminateAgain { proxy },
             _ => SoakAction::Reload {
                 proxy,
-                file: self.reloaded_file(),
+                file: self.random_reloaded_file(),
             },
         }
     }
 
-    /// An operator disables and enables endpoints, at a proxy that is neither ending nor starting. In the end all
-    /// are enabled.
+    /// Plans admin calls that disable and enable endpoints at proxies that are not restarting. At the end, all are
+    /// enabled.
     fn plan_calls(&mut self, restarted: &[(usize, f64)]) {
-        const DOWN_MS: Range<f64> = -300.0..3500.0;
+        /// When a proxy gets no calls, relative to its restart.
+        const NO_CALLS_MS: Range<f64> = -300.0..3500.0;
         for proxy in 0..self.proxies {
-            let endpoint = self.random.random_range(0..ENDPOINTS);
-            let mut at_ms = self.time_in(CALL_INTERVAL_MS);
+            let endpoint = self.random.random_range(0..ENDPOINT_COUNT);
+            let mut at_ms = self.random_time(CALL_INTERVAL_MS);
             let mut is_disabled = false;
             while at_ms < UPGRADE_MS.start - CALL_INTERVAL_MS.end || is_disabled {
-                let is_down = restarted.iter().any(|(down, since_ms)| {
-                    *down == proxy && DOWN_MS.contains(&(at_ms - since_ms))
+                let is_restarting = restarted.iter().any(|(restarted_proxy, restart_ms)| {
+                    *restarted_proxy == proxy && NO_CALLS_MS.contains(&(at_ms - restart_ms))
                 });
-                if !is_down {
+                if !is_restarting {
                     let call = if is_disabled {
                         SoakAction::Enable { proxy, endpoint }
                     } else {
@@ -315,12 +322,18 @@
                     self.add(at_ms, call);
                     is_disabled = !is_disabled;
                 }
-                at_ms += self.time_in(CALL_INTERVAL_MS);
+                at_ms += self.random_time(CALL_INTERVAL_MS);
             }
             if self.random.random::<f64>() < 0.5 {
-                // One that is disabled stays so over an upgrade.
-                self.add(BEFORE_UPGRADE_MS, SoakAction::Disable { proxy, endpoint });
-                self.add(AFTER_UPGRADE_MS, SoakAction::Enable { proxy, endpoint });
+                // An endpoint that is disabled must stay disabled across an upgrade.
+                self.add(
+                    DISABLE_BEFORE_UPGRADE_MS,
+                    SoakAction::Disable { proxy, endpoint },
+                );
+                self.add(
+                    ENABLE_AFTER_UPGRADE_MS,
+                    SoakAction::Enable { proxy, endpoint },
+                );
             }
         }
     }
--- a/fault-injection/src/soak/report.rs
+++ b/fault-injection/src/soak/report.rs
@@ -1,50 +1,50 @@
-//! What a run of the soak came to.
+//! The report of a soak run.
 
 use crate::harness::{AdminCall, CallOutcome, Service};
 use std::fmt;
 
-/// What was broken, beside the rules that the invariant checker judges.
+/// The kind of a finding.
 #[derive(Clone, Debug, PartialEq)]
 pub enum FindingKind {
-    /// A rule of the invariant checker, in its words.
-    Rule(String),
-    /// An operator's call did not get the answer that it is owed.
+    /// A violation reported by the invariant checker.
+    InvariantViolation(String),
+    /// An operator's call did not get a 200 response in time.
     Call(FailedOperatorCall),
-    /// A process was not ready in time after its start.
+    /// A process did not become ready in time.
     NotReady {
-        /// How long it took; none where it never was.
-        took_ms: Option<f64>,
+        /// How long it took; `None` if it never became ready.
+        startup_ms: Option<f64>,
     },
-    /// A process ended that nobody had told to.
-    Ended,
-    /// A log has a panic.
+    /// A process exited unexpectedly.
+    Exited,
+    /// A proxy logged a panic.
     Panic,
-    /// The endpoint list was not heard in time after discovery came back.
-    ListNotHeard {
-        /// The version.
+    /// A proxy did not receive the endpoint list in time after discovery recovered.
+    ListNotReceived {
+        /// The version of the list.
         version: u64,
     },
     /// A valid configuration was not applied.
     ReloadNotApplied,
-    /// Descriptors stayed open after the load.
-    DescriptorsHeld {
-        /// How many before the load.
-        at_rest: usize,
-        /// How many after it.
-        after: usize,
-        /// Connections to endpoints that are open after it, which may be kept.
+    /// More descriptors than expected are open after the load.
+    DescriptorsLeaked {
+        /// The number of open descriptors before the load.
+        before_load: usize,
+        /// The number of open descriptors after the load.
+        after_load: usize,
+        /// The number of those that are connections to endpoints, which may stay open.
         upstream: usize,
-        /// What they are.
+        /// Descriptions of the open descriptors.
         descriptions: Vec<String>,
     },
-    /// More memory was held than the configuration allows.
+    /// A process exceeded the memory limit in its configuration.
     MemoryExceeded {
-        /// The peak.
+        /// The peak memory in kB.
         peak_kb: usize,
     },
 }
 
-/// An operator's call and what became of it.
+/// An operator's call that failed, with its outcome.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct FailedOperatorCall {
     pub(super) at_ms: f64,
@@ -55,30 +55,30 @@
 impl fmt::Display for FindingKind {
     fn fmt(&self, formatter: &mut fmt::Formatter) -> fmt::Result {
         match self {
-            FindingKind::Rule(words) => formatter.write_str(words),
+            FindingKind::InvariantViolation(description) => formatter.write_str(description),
             FindingKind::Call(FailedOperatorCall {
                 at_ms,
                 call,
                 outcome,
             }) => write!(formatter, "call at {at_ms:.0} ms: {call}: {outcome:?}"),
             FindingKind::NotReady {
-                took_ms: Some(took_ms),
-            } => write!(formatter, "ready {took_ms:.0} ms after its start"),
-            FindingKind::NotReady { took_ms: None } => formatter.write_str("never ready"),
-            FindingKind::Ended => formatter.write_str("ended though nobody told it to"),
+                startup_ms: Some(startup_ms),
+            } => write!(formatter, "ready {startup_ms:.0} ms after its start"),
+            FindingKind::NotReady { startup_ms: None } => formatter.write_str("never ready"),
+            FindingKind::Exited => formatter.write_str("ended though nobody told it to"),
             FindingKind::Panic => formatter.write_str("a panic in its log"),
-            FindingKind::ListNotHeard { version } => {
+            FindingKind::ListNotReceived { version } => {
                 write!(formatter, "version {version} of the list not heard in time")
             }
             FindingKind::ReloadNotApplied => formatter.write_str("a valid file was not applied"),
-            FindingKind::DescriptorsHeld {
-                at_rest,
-                after,
+            FindingKind::DescriptorsLeaked {
+                before_load,
+                after_load,
                 upstream,
                 descriptions,
             } => write!(
                 formatter,
-                "{after} descriptors after the load, {at_rest} before, {upstream} to endpoints: {}",
+                "{after_load} descriptors after the load, {before_load} before, {upstream} to endpoints: {}",
                 descriptions.join(", ")
             ),
             FindingKind::MemoryExceeded { peak_kb } => {
@@ -88,12 +88,12 @@
     }
 }
 
-/// Something that was broken in a run.
+/// A problem found in a run.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Finding {
-    /// At which proxy; none where it is not known or about several.
+    /// The index of the proxy; `None` if unknown or if several are affected.
     pub proxy: Option<usize>,
-    /// What.
+    /// The kind of problem.
     pub kind: FindingKind,
 }
 
@@ -106,17 +106,17 @@
     }
 }
 
-/// What a run came to.
+/// The report of a run.
 #[derive(Clone, Debug)]
 pub struct SoakReport {
-    /// Its seed.
+    /// The seed of the run.
     pub seed: u64,
-    /// What clients got.
+    /// Counts of request outcomes.
     pub service: Service,
-    /// How many operators' calls were confirmed.
+    /// The number of operators' calls with a 200 response.
     pub confirmed_calls: usize,
-    /// Everything that was broken; empty if nothing was.
+    /// All problems found.
     pub findings: Vec<Finding>,
-    /// The logs of all proxies, for whoever looks into a finding.
+    /// The logs of all proxies, to diagnose findings.
     pub logs: Vec<String>,
 }
