--- a/proxy/src/request_lifecycle.rs
+++ b/proxy/src/request_lifecycle.rs
@@ -3,7 +3,7 @@
 use crate::proxy::Proxy;
 use crate::slot_table::{DownstreamKey, UpstreamKey};
 use crate::upstream::{AttemptCompletion, BufferedResponse};
-use crankmux::dispatcher::{FinalAnswer, NewAttempt, NextSteps};
+use crankmux::dispatcher::{FinalResponse, NewAttempt, NextSteps};
 use crankmux::types::{
     AttemptOutcome, AttemptResult, EndpointId, LoadReport, NewRequest, RequestId,
 };
@@ -55,13 +55,13 @@
                 self.cancel_attempt(connection);
             }
         }
-        match steps.final_answer {
+        match steps.final_response {
             None => {}
-            Some(FinalAnswer::Rejected { retry_after_ms }) => {
+            Some(FinalResponse::Rejected { retry_after_ms }) => {
                 self.counters.requests_rejected += 1;
                 self.answer_without_response(request, 503, retry_after_ms);
             }
-            Some(FinalAnswer::Failed) => {
+            Some(FinalResponse::Failed) => {
                 self.counters.requests_failed += 1;
                 self.answer_without_response(request, 502, 0.0);
             }
--- a/simulator/src/environment/requests.rs
+++ b/simulator/src/environment/requests.rs
@@ -7,7 +7,7 @@
 use crate::invariants::{Answer, RequestHistory};
 use crate::results::Outcome;
 use crate::script::Idempotency;
-use crankmux::dispatcher::{FinalAnswer, NextSteps};
+use crankmux::dispatcher::{FinalResponse, NextSteps};
 use crankmux::types::RequestId;
 
 /// How long after its deadline a request is overdue, in milliseconds: endpoints drop what they have of it by then.
@@ -79,11 +79,11 @@
         for attempt in steps.attempts {
             self.start_attempt(request_index, attempt.endpoint.index(), attempt.timeout_ms);
         }
-        match steps.final_answer {
-            Some(FinalAnswer::Rejected { retry_after_ms }) => {
+        match steps.final_response {
+            Some(FinalResponse::Rejected { retry_after_ms }) => {
                 self.answer(request_index, Answer::Rejected, retry_after_ms);
             }
-            Some(FinalAnswer::Failed) => self.answer(request_index, Answer::Failed, 0.0),
+            Some(FinalResponse::Failed) => self.answer(request_index, Answer::Failed, 0.0),
             None => {}
         }
     }
--- a/simulator/src/policies/baseline.rs
+++ b/simulator/src/policies/baseline.rs
@@ -3,7 +3,7 @@
 use super::{EndpointTruth, PolicyKind};
 use crate::random::RandomStream;
 use crate::script::{DeduplicationScope, Idempotency, RequestClass, Script};
-use crankmux::dispatcher::{FinalAnswer, NewAttempt, NextSteps};
+use crankmux::dispatcher::{FinalResponse, NewAttempt, NextSteps};
 use crankmux::types::{
     AttemptOutcome, AttemptResult, ClassId, EndpointId, EndpointState, EndpointUpdate, NewRequest,
     RequestId,
@@ -273,15 +273,15 @@
             }
             Idempotency::NotIdempotent => !may_have_executed,
         };
-        let final_answer = if safe_to_retry {
-            FinalAnswer::Rejected {
+        let final_response = if safe_to_retry {
+            FinalResponse::Rejected {
                 retry_after_ms: self.retry_after_ms,
             }
         } else {
-            FinalAnswer::Failed
+            FinalResponse::Failed
         };
         NextSteps {
-            final_answer: Some(final_answer),
+            final_response: Some(final_response),
             ..self.close(request_id)
         }
     }
--- a/src/dispatcher.rs
+++ b/src/dispatcher.rs
@@ -19,7 +19,7 @@
 
 /// The final response to a request without a successful attempt.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum FinalAnswer {
+pub enum FinalResponse {
     /// The request was not executed; the client may safely retry it.
     Rejected {
         /// How long the client should wait before it retries.
@@ -37,7 +37,7 @@
     /// The attempts to start.
     pub attempts: Vec<NewAttempt>,
     /// The response to send to the client.
-    pub final_answer: Option<FinalAnswer>,
+    pub final_response: Option<FinalResponse>,
 }
 
 /// A timer's due time, in whole microseconds so that it can be ordered, and its number.
@@ -92,11 +92,11 @@
     }
 
     fn reject(&mut self, request: RequestId, retry_after_ms: f64) {
-        self.steps_mut(request).final_answer = Some(FinalAnswer::Rejected { retry_after_ms });
+        self.steps_mut(request).final_response = Some(FinalResponse::Rejected { retry_after_ms });
     }
 
     fn fail(&mut self, request: RequestId) {
-        self.steps_mut(request).final_answer = Some(FinalAnswer::Failed);
+        self.steps_mut(request).final_response = Some(FinalResponse::Failed);
     }
 
     fn set_timer(&mut self, at_ms: f64, timer: u64) {
--- a/tests/module/dispatcher.rs
+++ b/tests/module/dispatcher.rs
@@ -1,7 +1,7 @@
 //! The call-and-return interface to the balancer.
 
 use crate::support::{default_settings, ready_endpoints, TTL_MS};
-use crankmux::dispatcher::{Dispatcher, FinalAnswer, NextSteps};
+use crankmux::dispatcher::{Dispatcher, FinalResponse, NextSteps};
 use crankmux::types::{AttemptOutcome, AttemptResult, ClassId, LoadReport, NewRequest, RequestId};
 
 fn attempt_result(attempt: usize, outcome: AttemptOutcome) -> AttemptResult {
@@ -34,13 +34,13 @@
         key: None,
     };
     let first = dispatcher.request_arrived(50_000.0, &arrival);
-    assert_eq!((first.attempts.len(), first.final_answer), (1, None));
+    assert_eq!((first.attempts.len(), first.final_response), (1, None));
     let second = dispatcher.attempt_ended(50_005.0, &attempt_result(0, AttemptOutcome::Rejected));
     assert_ne!(second.attempts[0].endpoint, first.attempts[0].endpoint);
     let last = dispatcher.attempt_ended(50_010.0, &attempt_result(1, AttemptOutcome::Failed));
     assert_eq!(
-        (last.attempts.len(), last.final_answer),
-        (0, Some(FinalAnswer::Failed))
+        (last.attempts.len(), last.final_response),
+        (0, Some(FinalResponse::Failed))
     );
     assert_eq!(
         dispatcher.attempt_ended(50_020.0, &attempt_result(1, AttemptOutcome::Failed)),
--- a/tests/module/endpoint_list.rs
+++ b/tests/module/endpoint_list.rs
@@ -4,7 +4,7 @@
     default_settings, endpoint_update, max_within_one_second, proxy_settings, ready_endpoints,
     Answer, Harness, SUCCESS, TTL_MS,
 };
-use crankmux::dispatcher::{Dispatcher, FinalAnswer};
+use crankmux::dispatcher::{Dispatcher, FinalResponse};
 use crankmux::settings::{NameIndex, Settings};
 use crankmux::types::{
     AttemptOutcome, AttemptResult, ClassId, EndpointId, EndpointState, LoadReport, NewRequest,
@@ -220,7 +220,7 @@
         load: LoadReport::default(),
     };
     let steps = replaced.dispatcher.attempt_ended(550_000.0, &result);
-    assert_eq!(steps.final_answer, Some(FinalAnswer::Failed));
+    assert_eq!(steps.final_response, Some(FinalResponse::Failed));
     assert!((500..600).any(|round| {
         replaced.replace(round).0 == first || !replaced.dispatcher.knows_endpoint(first)
     }));
