--- a/bench-adapter/src/instance.rs
+++ b/bench-adapter/src/instance.rs
@@ -273,7 +273,7 @@
         const NO_ATTEMPT: usize = usize::MAX;
         if let Some(request) = self.requests.find(fields.integer(2, "Req")?) {
             self.balancer
-                .streaming(context.now_ms, request, NO_ATTEMPT, true);
+                .set_body_streaming(context.now_ms, request, NO_ATTEMPT, true);
         }
         Ok(())
     }
--- a/proxy/src/request_lifecycle.rs
+++ b/proxy/src/request_lifecycle.rs
@@ -122,7 +122,7 @@
         if let Some(attempt) = self.requests.attempt_on(request, connection) {
             let now = self.now();
             self.dispatcher
-                .streaming(now, request, attempt, endpoint_works);
+                .set_body_streaming(now, request, attempt, endpoint_works);
         }
     }
 
--- a/src/balancer/mod.rs
+++ b/src/balancer/mod.rs
@@ -178,7 +178,13 @@
     /// Binds a request to an attempt whose body is being streamed. The attempt counts as in flight only while
     /// the endpoint works on it, from the end of the request body to the start of the response, so that slow
     /// clients don't use up the limit.
-    pub fn streaming(&mut self, now_ms: f64, request: RequestId, attempt: usize, endpoint_works: bool) {
+    pub fn set_body_streaming(
+        &mut self,
+        now_ms: f64,
+        request: RequestId,
+        attempt: usize,
+        endpoint_works: bool,
+    ) {
         self.now_ms = now_ms;
         let key = (request, attempt);
         let Some(request) = self.requests.get_mut(&request) else { return };
--- a/src/dispatcher.rs
+++ b/src/dispatcher.rs
@@ -138,8 +138,8 @@
 
     /// A long request or response body is being streamed by an attempt, so no further attempt may start. The
     /// endpoint is `executing` from the end of the request body until the response begins.
-    pub fn streaming(&mut self, now_ms: f64, request: RequestId, attempt: usize, executing: bool) {
-        self.balancer.streaming(now_ms, request, attempt, executing);
+    pub fn set_body_streaming(&mut self, now_ms: f64, request: RequestId, attempt: usize, executing: bool) {
+        self.balancer.set_body_streaming(now_ms, request, attempt, executing);
     }
 
     /// The client disconnected; it needs no response.
--- a/tests/module/invariants.rs
+++ b/tests/module/invariants.rs
@@ -87,7 +87,7 @@
         }
         18 => {
             if let Some((request, attempt)) = some_attempt(harness, first) {
-                harness.streaming(request, attempt, second % 2 == 0);
+                harness.set_body_streaming(request, attempt, second % 2 == 0);
             }
         }
         _ => apply_unknown_ids(harness),
@@ -108,7 +108,7 @@
     let now_ms = checker.now_ms;
     balancer.timer_expired(checker, now_ms, u64::MAX);
     balancer.client_left(checker, now_ms, UNKNOWN_REQUEST);
-    balancer.streaming(now_ms, UNKNOWN_REQUEST, 0, true);
+    balancer.set_body_streaming(now_ms, UNKNOWN_REQUEST, 0, true);
     balancer.probe_ended(
         checker,
         now_ms,
--- a/tests/module/load_reports.rs
+++ b/tests/module/load_reports.rs
@@ -119,7 +119,7 @@
     let mut harness = Harness::with_settings(few_buffers_settings(0.0), 2);
     let request = harness.send(0);
     harness.advance(100.0);
-    harness.streaming(request, 0, false);
+    harness.set_body_streaming(request, 0, false);
     harness.advance(500.0);
     assert!(
         harness.checker.requests[request].answers.is_empty(),
--- a/tests/module/retries.rs
+++ b/tests/module/retries.rs
@@ -143,7 +143,7 @@
         let attempts = harness.checker.requests[request].attempts.len();
         sent += attempts;
         if attempts > 0 && streaming {
-            harness.streaming(request, 0, false);
+            harness.set_body_streaming(request, 0, false);
         }
     }
     sent
@@ -168,8 +168,8 @@
     let requests: Vec<usize> = (0..30).map(|_| harness.send(0)).collect();
     for request in &requests {
         if !harness.checker.requests[*request].attempts.is_empty() {
-            harness.streaming(*request, 0, false);
-            harness.streaming(*request, 0, true);
+            harness.set_body_streaming(*request, 0, false);
+            harness.set_body_streaming(*request, 0, true);
         }
     }
     let more = harness.send(0);
--- a/tests/module/support/harness.rs
+++ b/tests/module/support/harness.rs
@@ -205,10 +205,10 @@
     }
 
     /// Reports that a long body is being streamed to or from the endpoint of an attempt.
-    pub(crate) fn streaming(&mut self, request: usize, attempt: usize, executing: bool) {
+    pub(crate) fn set_body_streaming(&mut self, request: usize, attempt: usize, executing: bool) {
         let now_ms = self.checker.now_ms;
         self.balancer
-            .streaming(now_ms, RequestId::new(request), attempt, executing);
+            .set_body_streaming(now_ms, RequestId::new(request), attempt, executing);
     }
 
     /// Responds to all pending probes with the endpoint's requests in flight; `None` fails the probe.
