--- a/bench-adapter/src/instance.rs
+++ b/bench-adapter/src/instance.rs
@@ -180,7 +180,7 @@
             _ => return Err(fields.invalid("Kind")),
         }
         self.names
-            .retain_endpoints(|endpoint| self.balancer.knows_endpoint(endpoint));
+            .retain_endpoints(|endpoint| self.balancer.has_endpoint(endpoint));
         Ok(())
     }
 
--- a/proxy/src/discovery/apply.rs
+++ b/proxy/src/discovery/apply.rs
@@ -24,7 +24,7 @@
         self.withdraw_unsent_attempts();
         self.gossip_endpoint_list(list);
         self.name_index
-            .retain_endpoints(|endpoint| self.dispatcher.knows_endpoint(endpoint));
+            .retain_endpoints(|endpoint| self.dispatcher.has_endpoint(endpoint));
     }
 
     fn remove_unlisted_endpoints(&mut self, updates: &[EndpointUpdate]) {
--- a/src/balancer/mod.rs
+++ b/src/balancer/mod.rs
@@ -164,7 +164,7 @@
     }
 
     /// Whether there is a record of this endpoint. The index of an unknown endpoint may be reused.
-    pub fn knows_endpoint(&self, endpoint: EndpointId) -> bool {
+    pub fn has_endpoint(&self, endpoint: EndpointId) -> bool {
         self.endpoints.contains_key(&endpoint)
     }
 
--- a/src/dispatcher.rs
+++ b/src/dispatcher.rs
@@ -190,8 +190,8 @@
     }
 
     /// Whether the balancer has a record of this endpoint. If not, its index may be reused for another one.
-    pub fn knows_endpoint(&self, endpoint: EndpointId) -> bool {
-        self.balancer.knows_endpoint(endpoint)
+    pub fn has_endpoint(&self, endpoint: EndpointId) -> bool {
+        self.balancer.has_endpoint(endpoint)
     }
 
     /// Takes the list of endpoints to send a load probe to.
--- a/tests/module/endpoint_list.rs
+++ b/tests/module/endpoint_list.rs
@@ -176,7 +176,7 @@
         self.dispatcher
             .update_endpoints(now_ms, &[old, new], false, false);
         self.names
-            .retain_endpoints(|endpoint| self.dispatcher.knows_endpoint(endpoint));
+            .retain_endpoints(|endpoint| self.dispatcher.has_endpoint(endpoint));
         assert_eq!(self.names.stable_hash(new.endpoint), round);
         (new.endpoint, new.pod)
     }
@@ -222,7 +222,7 @@
     let steps = replaced.dispatcher.attempt_ended(550_000.0, &result);
     assert_eq!(steps.final_response, Some(FinalResponse::Failed));
     assert!((500..600).any(|round| {
-        replaced.replace(round).0 == first || !replaced.dispatcher.knows_endpoint(first)
+        replaced.replace(round).0 == first || !replaced.dispatcher.has_endpoint(first)
     }));
 }
 
