--- a/src/balancer/admission.rs
+++ b/src/balancer/admission.rs
@@ -30,10 +30,10 @@
     fn new_request(&mut self, arrival: &NewRequest) -> Request {
         let priority = self.priority(arrival);
         let settings = Arc::clone(&self.classes[arrival.class.index()].settings);
-        // With few response buffers, slow readers block other requests. An idempotent request whose late
+        // With limited response buffers, slow readers block other requests. An idempotent request whose late
         // response has no value is abandoned at its latency objective, to free its buffer.
         let may_abandon = settings.late_weight <= 0.0 && settings.idempotency == Idempotency::Idempotent;
-        let abandons_late = self.settings.few_buffered_responses && may_abandon;
+        let abandons_late = self.settings.limited_response_buffers && may_abandon;
         let objective_at_ms = self.now_ms + settings.latency_objective_ms;
         Request {
             class: arrival.class,
--- a/src/balancer/estimator.rs
+++ b/src/balancer/estimator.rs
@@ -74,7 +74,7 @@
         }
         // Requests abandoned at their latency objective count, or limits would only grow.
         let is_late = result.duration_ms >= timing.latency_objective_ms;
-        let abandoned = settings.few_buffered_responses && outcome == AttemptOutcome::Cancelled && is_late;
+        let abandoned = settings.limited_response_buffers && outcome == AttemptOutcome::Cancelled && is_late;
         if matches!(outcome, AttemptOutcome::Cancelled | AttemptOutcome::NotSent) && !abandoned {
             return None;
         }
@@ -84,7 +84,7 @@
         let idle = queue_empty && !settings.load_by_probes && report_age_ms < MAX_QUEUE_REPORT_AGE_MS;
         let cpu_free = report.cpu_utilization.is_some_and(|used| used < FREE_CPU_UTILIZATION);
         let not_busy = report.queued.is_none() && cpu_free && report_age_ms < MAX_CPU_REPORT_AGE_MS;
-        let trusts_cpu = !settings.load_by_probes || settings.few_buffered_responses;
+        let trusts_cpu = !settings.load_by_probes || settings.limited_response_buffers;
         let share = endpoint.statistics.concurrency_limit / self.proxies_per_endpoint;
         let share_in_use = settings.load_by_probes || endpoint.own_in_flight() >= LIMIT_GROWTH_SHARE * share;
         let since_response_ms = self.now_ms - endpoint.last_response_at_ms;
--- a/src/balancer/load.rs
+++ b/src/balancer/load.rs
@@ -40,7 +40,7 @@
     /// load, as an extrapolation from few attempts is noisy.
     fn clamp_to_local_estimate(&self, own: usize, extrapolated: f64, reported: f64) -> f64 {
         // While responses are buffered for slow readers, attempts in flight may have left their endpoints.
-        let is_exact = self.settings.load_by_probes && !self.settings.few_buffered_responses;
+        let is_exact = self.settings.load_by_probes && !self.settings.limited_response_buffers;
         let sampled = ((1.0 - 1.0 / self.proxies_per_endpoint) / own.max(1) as f64).sqrt();
         let error = if is_exact { 0.0 } else { sampled };
         reported.clamp(extrapolated * (1.0 - error), extrapolated)
--- a/src/balancer/solver.rs
+++ b/src/balancer/solver.rs
@@ -79,7 +79,7 @@
         let statistics = &endpoint.statistics;
         let relative_latency = statistics.relative_latency.unwrap_or(self.mean_relative_latency);
         let latency_ms = (relative_latency * self.mean_latency_ms).max(1.0);
-        let locality_cost_ms = if endpoint.zone == self.settings.my_zone { 0.0 } else { crossing_cost_ms };
+        let locality_cost_ms = if endpoint.zone == self.settings.local_zone { 0.0 } else { crossing_cost_ms };
         // A failure costs about the latency of one more request.
         let failure_cost_ms = latency_ms * statistics.error_rate / (1.0 - statistics.error_rate).max(0.1);
         let has_report = endpoint.report != LoadReport::default();
--- a/src/settings/names.rs
+++ b/src/settings/names.rs
@@ -91,8 +91,8 @@
         let classes = wire.classes.entries().iter();
         let placement = classes.map(|class| self.placement(&class.entry)).collect();
         // A proxy without a configured zone is assigned to the first one.
-        let my_zone = wire.my_zone.text().map_or(0, |zone| self.intern_zone(zone));
-        Settings::from_wire(&wire, my_zone, placement)
+        let local_zone = wire.local_zone.text().map_or(0, |zone| self.intern_zone(zone));
+        Settings::from_wire(&wire, local_zone, placement)
     }
 
     /// The currently listed request class with this name.
--- a/src/settings/typed.rs
+++ b/src/settings/typed.rs
@@ -19,7 +19,7 @@
     /// The number of this proxy among them, from 0.
     pub proxy_number: Option<f64>,
     /// The index of this proxy's zone.
-    pub my_zone: usize,
+    pub local_zone: usize,
     /// The request classes.
     pub classes: Vec<ClassSettings>,
     /// The tenants.
@@ -36,8 +36,8 @@
     pub max_retry_after_ms: f64,
     /// Whether endpoints report their load only to probes, and probes are allowed.
     pub load_by_probes: bool,
-    /// Whether only a few responses can be buffered for slow clients.
-    pub few_buffered_responses: bool,
+    /// Whether only a limited number of responses can be buffered for slow clients.
+    pub limited_response_buffers: bool,
     /// Whether endpoints cache by key, so that requests with the same key should go to the same endpoint.
     pub key_affinity: bool,
     /// The cost of an attempt to another zone, as a fraction of the value of a request.
@@ -115,7 +115,7 @@
 
     pub(super) fn from_wire(
         wire: &WireSettings,
-        my_zone: usize,
+        local_zone: usize,
         placement: Vec<ClassPlacement>,
     ) -> Result<Self, SettingsError> {
         if wire.classes == List::Absent {
@@ -136,7 +136,7 @@
         Ok(Settings {
             proxy_count: proxy_count.max(1.0),
             proxy_number: wire.proxy_number.number_or_flag(),
-            my_zone,
+            local_zone,
             classes,
             tenants: wire.tenants.entries().iter().map(|tenant| read_tenant(&tenant.entry)).collect(),
             over_quota_weight: wire.over_quota_weight.number_or_flag().unwrap_or(1.0),
@@ -145,7 +145,7 @@
             cancellation: is_enabled(&limits.cancellation),
             max_retry_after_ms: retry_after * limits.max_retry_after_ms.number_or_flag().unwrap_or(0.0),
             load_by_probes: polled && is_enabled(&limits.probes),
-            few_buffered_responses: is_enabled(&limits.buffered_responses),
+            limited_response_buffers: is_enabled(&limits.buffered_responses),
             key_affinity: is_enabled(&wire.specifics.key_affinity),
             cross_zone_price: wire.fees.cross_zone.number_or_flag().unwrap_or(0.0),
             watch_endpoints: wire.discovery.text() == Some("subscribe"),
--- a/src/settings/wire.rs
+++ b/src/settings/wire.rs
@@ -151,7 +151,8 @@
     pub(super) proxy_count: Field<Number>,
     #[serde(rename = "MyNumber")]
     pub(super) proxy_number: Field<Number>,
-    pub(super) my_zone: Field<String>,
+    #[serde(rename = "MyZone")]
+    pub(super) local_zone: Field<String>,
     pub(super) zones: List<NameOnly>,
     pub(super) discovery: Field<String>,
     #[serde(rename = "ExcessBenefit")]
--- a/tests/module/load_reports.rs
+++ b/tests/module/load_reports.rs
@@ -78,10 +78,10 @@
     );
 }
 
-/// Settings with few response buffers and a weight for late responses of class 0.
+/// Settings with limited response buffers and a weight for late responses of class 0.
 fn few_buffers_settings(late_weight: f64) -> Settings {
     let mut settings = default_settings();
-    settings.few_buffered_responses = true;
+    settings.limited_response_buffers = true;
     settings.classes[0].late_weight = late_weight;
     settings
 }
--- a/tests/module/probing.rs
+++ b/tests/module/probing.rs
@@ -136,7 +136,7 @@
 #[test]
 fn requests_rarely_leave_their_zone_unless_it_is_loaded() {
     let settings = Settings {
-        my_zone: 1,
+        local_zone: 1,
         cross_zone_price: 0.2,
         ..probing_settings()
     };
--- a/tests/module/settings.rs
+++ b/tests/module/settings.rs
@@ -152,8 +152,8 @@
     assert!(!read_changed("/Limits/SecondCopies", json!(0)).hedging);
     assert!(read_changed("/Limits/SecondCopies", json!(2.5)).hedging);
     assert_eq!(read_changed("/MyNumber", json!(null)).proxy_number, None);
-    assert_eq!(read_changed("/MyZone", json!(5)).my_zone, 0);
-    assert_eq!(read_changed("/MyZone", json!("b")).my_zone, 1);
+    assert_eq!(read_changed("/MyZone", json!(5)).local_zone, 0);
+    assert_eq!(read_changed("/MyZone", json!("b")).local_zone, 1);
     assert_eq!(
         read_changed("/Obligations/AskWithinMs", json!(null)).poll_within_ms,
         8000.0
--- a/tests/module/support/settings.rs
+++ b/tests/module/support/settings.rs
@@ -29,7 +29,7 @@
     Settings {
         proxy_count: 1.0,
         proxy_number: None,
-        my_zone: 0,
+        local_zone: 0,
         classes: IDEMPOTENCY.map(class).to_vec(),
         tenants: Vec::new(),
         over_quota_weight: 1.0,
@@ -38,7 +38,7 @@
         cancellation: true,
         max_retry_after_ms: MAX_RETRY_AFTER_MS,
         load_by_probes: false,
-        few_buffered_responses: false,
+        limited_response_buffers: false,
         key_affinity: false,
         cross_zone_price: 0.0,
         watch_endpoints: true,
