--- a/bench-adapter/src/instance.rs
+++ b/bench-adapter/src/instance.rs
@@ -200,14 +200,14 @@
         let flags = fields.optional_integer(8, "Flags")?.unwrap_or(0);
         // Checked, but not used by the balancer.
         fields.optional_number(7, "EffortMs")?;
-        let key = fields.optional_integer(5, "Affinity")?;
+        let affinity_key = fields.optional_integer(5, "Affinity")?;
         let arrival = NewRequest {
             request: self.requests.insert(id),
             class,
             tenant,
             ttl_ms,
             client_retry: flags & CLIENT_RETRY_FLAG == CLIENT_RETRY_FLAG,
-            key,
+            affinity_key,
         };
         let now_ms = context.now_ms;
         let actions = &mut context.writer(&self.names, &mut self.requests);
--- a/proxy/src/downstream/request_head.rs
+++ b/proxy/src/downstream/request_head.rs
@@ -80,7 +80,7 @@
         let tenant = tenant_name.and_then(|name| names.tenant(name));
         let client_retry = self.header(RETRIED) == Some("1");
         // The hash is the same in all proxies, so they choose the same endpoints for a key.
-        let key = key_header
+        let affinity_key = key_header
             .and_then(|name| self.header(name))
             .map(stable_hash);
         let request = NewRequest {
@@ -90,7 +90,7 @@
             tenant,
             ttl_ms,
             client_retry,
-            key,
+            affinity_key,
         };
         Ok(RequestKind::Forwarded(request, id_hash))
     }
--- a/simulator/src/environment/clients.rs
+++ b/simulator/src/environment/clients.rs
@@ -200,7 +200,7 @@
             tenant: None,
             ttl_ms: class.ttl_ms,
             client_retry: call.requests_sent > 1,
-            key: (call.key > 0).then_some(call.key),
+            affinity_key: (call.key > 0).then_some(call.key),
         };
         let impatient = call.impatient;
         let request = RequestRef { index, serial };
--- a/src/balancer/admission.rs
+++ b/src/balancer/admission.rs
@@ -41,7 +41,7 @@
             deadline_ms: self.now_ms + arrival.ttl_ms + self.settings.deadline_margin_ms,
             abandon_at_ms: if abandons_late { objective_at_ms } else { f64::MAX },
             priority,
-            affinity_key: arrival.key.filter(|_| self.settings.key_affinity),
+            affinity_key: arrival.affinity_key.filter(|_| self.settings.key_affinity),
             settings,
             max_attempts: self.settings.max_attempts,
             ..Request::default()
--- a/src/types.rs
+++ b/src/types.rs
@@ -82,7 +82,7 @@
     /// Whether the client marked the request as a retry.
     pub client_retry: bool,
     /// The affinity key, if any: requests with the same key prefer the same endpoints.
-    pub key: Option<u64>,
+    pub affinity_key: Option<u64>,
 }
 
 /// How an attempt ended.
--- a/tests/module/dispatcher.rs
+++ b/tests/module/dispatcher.rs
@@ -31,7 +31,7 @@
         tenant: None,
         ttl_ms: TTL_MS,
         client_retry: false,
-        key: None,
+        affinity_key: None,
     };
     let first = dispatcher.request_arrived(50_000.0, &arrival);
     assert_eq!((first.attempts.len(), first.final_response), (1, None));
--- a/tests/module/endpoint_list.rs
+++ b/tests/module/endpoint_list.rs
@@ -195,7 +195,7 @@
         tenant: None,
         ttl_ms: 1000.0 * TTL_MS,
         client_retry: false,
-        key: None,
+        affinity_key: None,
     };
     let steps = replaced.dispatcher.request_arrived(50_000.0, &arrival);
     assert_eq!(steps.attempts[0].endpoint, first);
--- a/tests/module/probing.rs
+++ b/tests/module/probing.rs
@@ -234,7 +234,7 @@
         tenant: None,
         ttl_ms: TTL_MS,
         client_retry: false,
-        key: None,
+        affinity_key: None,
     };
     let steps = dispatcher.request_arrived(50_000.0, &arrival);
     assert!(steps.attempts.is_empty(), "the endpoint is probed first");
--- a/tests/module/retries.rs
+++ b/tests/module/retries.rs
@@ -201,7 +201,7 @@
         tenant: None,
         ttl_ms: 0.0,
         client_retry: false,
-        key: None,
+        affinity_key: None,
     };
     let now_ms = harness.checker.now_ms;
     harness
--- a/tests/module/slow_start_budget.rs
+++ b/tests/module/slow_start_budget.rs
@@ -197,7 +197,7 @@
             tenant: None,
             ttl_ms: 1000.0,
             client_retry: false,
-            key: None,
+            affinity_key: None,
         };
         let out = &mut StartedAttempt::default();
         self.balancer
--- a/tests/module/support/harness.rs
+++ b/tests/module/support/harness.rs
@@ -138,8 +138,8 @@
         self.send_request(class, Some(tenant), client_retry, None)
     }
 
-    pub(crate) fn send_with_key(&mut self, class: usize, key: Option<u64>) -> usize {
-        self.send_request(class, None, false, key)
+    pub(crate) fn send_with_key(&mut self, class: usize, affinity_key: Option<u64>) -> usize {
+        self.send_request(class, None, false, affinity_key)
     }
 
     fn send_request(
@@ -147,7 +147,7 @@
         class: usize,
         tenant: Option<usize>,
         client_retry: bool,
-        key: Option<u64>,
+        affinity_key: Option<u64>,
     ) -> usize {
         let request = self.checker.requests.len();
         let now_ms = self.checker.now_ms;
@@ -165,7 +165,7 @@
             tenant: tenant.map(TenantId::new),
             ttl_ms: TTL_MS,
             client_retry,
-            key,
+            affinity_key,
         };
         self.balancer
             .request_arrived(&mut self.checker, now_ms, &arrival);
