--- a/membership/src/membership/incarnations.rs
+++ b/membership/src/membership/incarnations.rs
@@ -83,6 +83,7 @@
         self.local.incarnation = incarnation;
         self.authenticator.set_incarnation(incarnation);
         self.member_set.reset_shares();
-        self.events.push(MembershipEvent::Reincarnated(incarnation));
+        self.events
+            .push(MembershipEvent::IncarnationChanged(incarnation));
     }
 }
--- a/membership/src/types.rs
+++ b/membership/src/types.rs
@@ -158,7 +158,7 @@
     /// This process did not run for this many milliseconds.
     Paused(f64),
     /// This proxy continues under a new incarnation, because it was declared failed or its incarnation was superseded.
-    Reincarnated(u64),
+    IncarnationChanged(u64),
 }
 
 /// The status of an endpoint in a proxy's endpoint list: draining, removed, restarted, or ready again.
--- a/proxy/src/cluster/events.rs
+++ b/proxy/src/cluster/events.rs
@@ -93,7 +93,7 @@
             second.address
         ),
         MembershipEvent::Paused(ms) => log::warn!("cluster: this process was paused for {ms:.0} ms"),
-        MembershipEvent::Reincarnated(incarnation) => {
+        MembershipEvent::IncarnationChanged(incarnation) => {
             log::warn!("cluster: superseded or declared failed, continues as incarnation {incarnation}");
         }
         MembershipEvent::EndpointUpdate(..) => {}
