--- a/membership/src/assumptions.rs
+++ b/membership/src/assumptions.rs
@@ -12,21 +12,21 @@
 
 /// What load balancing assumes at a moment.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Assumed {
+pub struct ClusterAssumption {
     /// The number of proxies that share the endpoints.
     pub cluster_size: f64,
     /// The fraction of an evenly divided slow-start budget that this proxy may use, at most 1.
     pub slow_start_share: f64,
 }
 
-/// Derives [`Assumed`] from membership and the endpoints' load reports.
+/// Derives [`ClusterAssumption`] from membership and the endpoints' load reports.
 pub struct ClusterAssumptions {
     size_estimate: ClusterSizeEstimate,
     load_estimate: LoadBasedEstimate,
     /// This proxy's attempts in flight, by endpoint index.
     in_flight: Vec<u32>,
     next_refresh_ms: f64,
-    current: Assumed,
+    current: ClusterAssumption,
 }
 
 impl ClusterAssumptions {
@@ -37,7 +37,7 @@
             load_estimate: LoadBasedEstimate::default(),
             in_flight: Vec::new(),
             next_refresh_ms: now_ms,
-            current: Assumed {
+            current: ClusterAssumption {
                 cluster_size: configured_size,
                 slow_start_share: 0.0,
             },
@@ -50,7 +50,7 @@
     }
 
     /// The current assumptions.
-    pub fn current(&self) -> Assumed {
+    pub fn current(&self) -> ClusterAssumption {
         self.current
     }
 
@@ -118,7 +118,7 @@
         let changed = slow_start_share != self.current.slow_start_share
             || relative_change > MIN_RELATIVE_CHANGE;
         if changed {
-            self.current = Assumed {
+            self.current = ClusterAssumption {
                 cluster_size,
                 slow_start_share,
             };
--- a/proxy/src/cluster/lifecycle.rs
+++ b/proxy/src/cluster/lifecycle.rs
@@ -5,7 +5,7 @@
 use super::state::Cluster;
 use crate::descriptors::DescriptorPurpose;
 use crate::proxy::Proxy;
-use crankmux_membership::assumptions::Assumed;
+use crankmux_membership::assumptions::ClusterAssumption;
 use serde_json::Value;
 
 impl Proxy {
@@ -58,7 +58,7 @@
     pub fn yield_cluster(&mut self) {
         if let Some(mut cluster) = self.cluster.take() {
             cluster.port.close(&self.registry);
-            self.assumed_cluster = Some(Assumed {
+            self.assumed_cluster = Some(ClusterAssumption {
                 slow_start_share: 0.0,
                 ..cluster.assumed()
             });
--- a/proxy/src/cluster/state.rs
+++ b/proxy/src/cluster/state.rs
@@ -4,7 +4,7 @@
 use super::error::ClusterError;
 use super::port::ClusterPort;
 use crankmux::types::{EndpointId, EndpointUpdate};
-use crankmux_membership::assumptions::{Assumed, ClusterAssumptions};
+use crankmux_membership::assumptions::{ClusterAssumption, ClusterAssumptions};
 use crankmux_membership::endpoint_gossip::EndpointView;
 use crankmux_membership::{Membership, Reachability};
 use mio::Registry;
@@ -81,7 +81,7 @@
     }
 
     /// What is assumed of the other proxies now.
-    pub fn assumed(&self) -> Assumed {
+    pub fn assumed(&self) -> ClusterAssumption {
         self.assumptions.current()
     }
 
--- a/proxy/src/proxy.rs
+++ b/proxy/src/proxy.rs
@@ -23,7 +23,7 @@
 use crate::upstream::Upstreams;
 use crankmux::dispatcher::Dispatcher;
 use crankmux::settings::NameIndex;
-use crankmux_membership::assumptions::Assumed;
+use crankmux_membership::assumptions::ClusterAssumption;
 use mio::net::TcpListener;
 use mio::{Poll, Registry};
 use serde_json::Value;
@@ -123,7 +123,7 @@
     pub cluster: Option<Cluster>,
     /// The number of proxies that share the endpoints and this one's part of the slow-start budget, once it has joined
     /// a cluster.
-    pub assumed_cluster: Option<Assumed>,
+    pub assumed_cluster: Option<ClusterAssumption>,
     /// File descriptors that all processes of the proxy may hold together.
     pub(crate) sockets: usize,
     /// Memory for buffers that all processes of the proxy may hold together.
