--- a/membership/src/endpoint_gossip.rs
+++ b/membership/src/endpoint_gossip.rs
@@ -43,7 +43,7 @@
     /// Statuses to gossip to the other proxies.
     pub gossip: Vec<EndpointGossip>,
     /// Endpoints whose received gossip is superseded by the own list.
-    pub overtaken: Vec<u64>,
+    pub superseded: Vec<u64>,
 }
 
 /// The own endpoint list, and received gossip of later list versions.
@@ -68,7 +68,7 @@
         }
         // The version may decrease if the source of the list changes; the latest received list applies.
         self.list_version = list_version;
-        let overtaken = self
+        let superseded = self
             .received
             .values()
             .filter(|gossip| gossip.list_version <= list_version)
@@ -80,7 +80,7 @@
         self.own.retain(|endpoint, status| {
             status.strictness < REMOVED || received.contains_key(endpoint)
         });
-        ListUpdate { gossip, overtaken }
+        ListUpdate { gossip, superseded }
     }
 
     /// Records entries and returns the changed ones, to be gossiped.
@@ -149,7 +149,7 @@
     }
 
     /// The number of endpoints whose effective status differs from that of the own list.
-    pub fn overridden(&self) -> usize {
+    pub fn overridden_count(&self) -> usize {
         let is_overridden = |endpoint: &&u64| {
             let own = self.own.get(*endpoint).copied();
             self.status(**endpoint) != own
--- a/membership/tests/endpoint_gossip.rs
+++ b/membership/tests/endpoint_gossip.rs
@@ -45,20 +45,20 @@
     let mut view = view_at(10);
     assert!(view.receive(gossip(1, DRAINING, 5.0, 12)));
     assert_eq!(view.status(1), Some(status(DRAINING, 5.0)));
-    assert_eq!(view.overridden(), 1);
+    assert_eq!(view.overridden_count(), 1);
     assert_eq!(view.update_list(11, false, &[]), ListUpdate::default());
     assert_eq!(
         view.status(1),
         Some(status(DRAINING, 5.0)),
         "not as far yet"
     );
-    let overtaking = ListUpdate {
+    let superseding = ListUpdate {
         gossip: vec![],
-        overtaken: vec![1],
+        superseded: vec![1],
     };
     assert_eq!(
         view.update_list(12, false, &[]),
-        overtaking,
+        superseding,
         "the own list says otherwise, and is as late"
     );
     assert_eq!(view.status(1), Some(status(READY, 5.0)));
@@ -81,7 +81,7 @@
     assert!(view.receive(gossip(2, DRAINING, 0.0, 30)));
     assert!(
         !view.receive(gossip(2, REMOVED, 0.0, 29)),
-        "overtaken on its way"
+        "superseded in transit"
     );
     assert!(view.receive(gossip(2, READY, 0.0, 31)), "taken back");
     assert_eq!(view.status(2), Some(status(READY, 0.0)));
--- a/proxy/src/cluster/endpoint_gossip.rs
+++ b/proxy/src/cluster/endpoint_gossip.rs
@@ -7,7 +7,7 @@
 use crankmux_membership::endpoint_gossip::{EndpointStatus, ListedEndpoint};
 
 impl Proxy {
-    /// The own list has changed: the others hear of it, and what they gossiped before may be overtaken.
+    /// The own list has changed: the others hear of it, and what they gossiped before may be superseded.
     pub fn gossip_endpoint_list(&mut self, list: &EndpointList) {
         let Some(cluster) = &mut self.cluster else {
             return;
@@ -45,7 +45,7 @@
             status.is_some_and(|status| status.strictness > READY)
                 && cluster.endpoint_lines.contains_key(endpoint)
         });
-        let changed: Vec<u64> = changes.overtaken.into_iter().chain(overridden).collect();
+        let changed: Vec<u64> = changes.superseded.into_iter().chain(overridden).collect();
         if !changed.is_empty() {
             self.apply_endpoint_statuses(&changed);
         }
--- a/proxy/src/cluster/metrics.rs
+++ b/proxy/src/cluster/metrics.rs
@@ -29,7 +29,7 @@
             count(MemberState::Left),
             assumed.cluster_size,
             assumed.slow_start_share,
-            self.endpoint_view.overridden(),
+            self.endpoint_view.overridden_count(),
         )
     }
 }
--- a/proxy/src/cluster/status_page.rs
+++ b/proxy/src/cluster/status_page.rs
@@ -161,7 +161,7 @@
         ClusterStatus {
             slow_start_share: assumed.slow_start_share,
             datagrams: self.port.counters.into(),
-            overridden_endpoints: self.endpoint_view.overridden(),
+            overridden_endpoints: self.endpoint_view.overridden_count(),
             local: NodeStatus::new(self.membership.local()),
             members: members
                 .iter()
