--- a/operator-config/src/error.rs
+++ b/operator-config/src/error.rs
@@ -31,7 +31,7 @@
         message: String,
     },
     /// The key is unknown but similar to a known one.
-    #[error("is not known; {nearest} is meant?")]
+    #[error("is not known; did you mean {nearest}?")]
     MisspelledKey {
         /// The most similar known key.
         nearest: &'static str,
--- a/operator-config/tests/operator_config.rs
+++ b/operator-config/tests/operator_config.rs
@@ -83,10 +83,10 @@
         );
         let reported = errors(section_name, &text);
         let expected = [
-            format!("line 1: {misspelled}: is not known; {section_name} is meant?"),
+            format!("line 1: {misspelled}: is not known; did you mean {section_name}?"),
             format!("line 3: {section_name}.name: "),
             format!("line 4: {section_name}.listen: "),
-            format!("line 5: {section_name}.advertize: is not known; advertise is meant?"),
+            format!("line 5: {section_name}.advertize: is not known; did you mean advertise?"),
             format!("line 6: {section_name}.seeds: "),
             format!("line 7: {section_name}.key-files: must name one file"),
             format!("line 8: {section_name}.forget-failed: "),
@@ -184,11 +184,11 @@
 fn unknown_sections_are_compared_with_both_names_and_the_current_one_is_listed() {
     assert_eq!(
         errors("cluster", "[clutser]\n"),
-        ["line 1: clutser: is not known; cluster is meant?"]
+        ["line 1: clutser: is not known; did you mean cluster?"]
     );
     assert_eq!(
         errors("cluster", "[fleeet]\n"),
-        ["line 1: fleeet: is not known; fleet is meant?"]
+        ["line 1: fleeet: is not known; did you mean fleet?"]
     );
     assert_eq!(
         errors("cluster", "colour = 1\n"),
--- a/proxy/tests/operator_config/main.rs
+++ b/proxy/tests/operator_config/main.rs
@@ -72,7 +72,7 @@
         let bad = run(folder.path(), &["check", "bad.toml"]);
         assert_eq!(
             bad.errors,
-            format!("bad.toml: line 5: {name}.seed: is not known; seeds is meant?\n")
+            format!("bad.toml: line 5: {name}.seed: is not known; did you mean seeds?\n")
         );
         folder.write("bad.toml", section(name, "nofile"));
         let bad = run(folder.path(), &["check", "bad.toml"]);
--- a/tests/module/settings.rs
+++ b/tests/module/settings.rs
@@ -44,41 +44,41 @@
 /// The path of a value, its replacement (`null` removes it), and the expected error message.
 const INVALID_SETTINGS: &str = r#"
 /GroupSize | null | setting balancers is missing (on the wire: GroupSize)
-/GroupSize | "3" | GroupSize is no number from 0 and neither true nor false
-/MyNumber | 4 | MyNumber is not under GroupSize
-/Categories | null | Categories is missing or no list
-/Categories | {} | Categories is missing or no list
-/Categories/0 | 3 | Categories.0.TargetLatencyMs is no number above 0
+/GroupSize | "3" | GroupSize must be a non-negative number or a boolean
+/MyNumber | 4 | MyNumber must be less than GroupSize
+/Categories | null | Categories is missing or not a list
+/Categories | {} | Categories is missing or not a list
+/Categories/0 | 3 | Categories.0.TargetLatencyMs must be a positive number
 /Categories/0/Effect | "once" | setting category.0.effect is missing or unknown (on the wire: Effect)
 /Categories/0/Effect | null | setting category.0.effect is missing or unknown (on the wire: Effect)
-/Categories/1/Group | "planet" | Categories.1.Group is none of all, zone and cell
-/Categories/1/Group | 3 | Categories.1.Group is none of all, zone and cell
-/Categories/0/TtlMs | 0 | Categories.0.TtlMs is no number above 0
-/Categories/0/TtlMs | true | Categories.0.TtlMs is no number above 0
-/Categories/0/TargetLatencyMs | null | Categories.0.TargetLatencyMs is no number above 0
-/Categories/0/Benefit | "x" | Categories.0.Benefit is no number from 0
-/Categories/0/LateBenefit | -1 | Categories.0.LateBenefit is no number from 0
-/Categories/0/WindowMs | false | Categories.0.WindowMs is no number from 0
-/Categories/0/Name | "" | Categories.0.Name is missing or no name
-/Categories/2/ZonesAllowed | "a" | Categories.2.ZonesAllowed is no list of names
-/Categories/2/AllowedOn | [3] | Categories.2.AllowedOn is no list of names
-/Customers/0/QuotaPerS | -1 | Customers.0.QuotaPerS is no number from 0
-/Customers/0/Fraction | true | Customers.0.Fraction is no number from 0
-/Limits/MostPushes | null | Limits.MostPushes is no number above 0
-/Limits/MostPushes | 0 | Limits.MostPushes is no number above 0
-/Limits/MostPushes | true | Limits.MostPushes is no number above 0
-/Limits/Probes | "x" | Limits.Probes is no number from 0 and neither true nor false
-/Fees | {"CrossZone": -1} | Fees.CrossZone is no number from 0 and neither true nor false
-/ExcessBenefit | [] | ExcessBenefit is no number from 0 and neither true nor false
-/Obligations/ColdShare | "x" | Obligations.ColdShare is no number from 0 and neither true nor false
-/Obligations/BootStampErrorMs | -3 | Obligations.BootStampErrorMs is no number from 0 and neither true nor false
+/Categories/1/Group | "planet" | Categories.1.Group must be all, zone or cell
+/Categories/1/Group | 3 | Categories.1.Group must be all, zone or cell
+/Categories/0/TtlMs | 0 | Categories.0.TtlMs must be a positive number
+/Categories/0/TtlMs | true | Categories.0.TtlMs must be a positive number
+/Categories/0/TargetLatencyMs | null | Categories.0.TargetLatencyMs must be a positive number
+/Categories/0/Benefit | "x" | Categories.0.Benefit must be a non-negative number
+/Categories/0/LateBenefit | -1 | Categories.0.LateBenefit must be a non-negative number
+/Categories/0/WindowMs | false | Categories.0.WindowMs must be a non-negative number
+/Categories/0/Name | "" | Categories.0.Name is missing or empty
+/Categories/2/ZonesAllowed | "a" | Categories.2.ZonesAllowed must be a list of names
+/Categories/2/AllowedOn | [3] | Categories.2.AllowedOn must be a list of names
+/Customers/0/QuotaPerS | -1 | Customers.0.QuotaPerS must be a non-negative number
+/Customers/0/Fraction | true | Customers.0.Fraction must be a non-negative number
+/Limits/MostPushes | null | Limits.MostPushes must be a positive number
+/Limits/MostPushes | 0 | Limits.MostPushes must be a positive number
+/Limits/MostPushes | true | Limits.MostPushes must be a positive number
+/Limits/Probes | "x" | Limits.Probes must be a non-negative number or a boolean
+/Fees | {"CrossZone": -1} | Fees.CrossZone must be a non-negative number or a boolean
+/ExcessBenefit | [] | ExcessBenefit must be a non-negative number or a boolean
+/Obligations/ColdShare | "x" | Obligations.ColdShare must be a non-negative number or a boolean
+/Obligations/BootStampErrorMs | -3 | Obligations.BootStampErrorMs must be a non-negative number or a boolean
 /Obligations/ColdShare | null | setting cold-share is missing (on the wire: Obligations/ColdShare)
 /Obligations/ColdMs | null | setting cold-time is missing (on the wire: Obligations/ColdMs)
 /Obligations/FallMs | null | setting fall-time is missing (on the wire: Obligations/FallMs)
 /Obligations/FallMultiple | null | setting fall-multiple is missing (on the wire: Obligations/FallMultiple)
 /Obligations/StopSendingWithinMs | null | setting drain-grace is missing (on the wire: Obligations/StopSendingWithinMs)
-/Reporting | {"Via": "shout"} | Reporting.Via is none of piggyback, pull and silent
-/Reporting | {"Via": "pull"} | Reporting.Via is pull, but Limits.Probes allows no probe
+/Reporting | {"Via": "shout"} | Reporting.Via must be piggyback, pull or silent
+/Reporting | {"Via": "pull"} | Reporting.Via is pull, but Limits.Probes does not allow probes
 "#;
 
 #[test]
@@ -104,7 +104,7 @@
         let error = read(&settings).expect_err("no probes are allowed");
         assert_eq!(
             error.to_string(),
-            "Reporting.Via is pull, but Limits.Probes allows no probe",
+            "Reporting.Via is pull, but Limits.Probes does not allow probes",
             "{probes}"
         );
     }
