--- a/proxy/src/admin/connections.rs
+++ b/proxy/src/admin/connections.rs
@@ -20,8 +20,9 @@
     /// Accepts all pending connections to the admin API.
     pub fn accept_admin_connections(&mut self) {
         loop {
-            let accepted =
-                self.open_reserved(DescriptorPurpose::AdminCaller, |proxy| proxy.admin.accept());
+            let accepted = self.open_reserved(DescriptorPurpose::AdminConnection, |proxy| {
+                proxy.admin.accept()
+            });
             let error = match accepted {
                 Ok(stream) => {
                     self.add_admin_connection(stream);
@@ -55,7 +56,7 @@
         }
         let Some(slot) = self.admin.free_slot() else {
             drop(stream);
-            self.replenish_reserve_of(DescriptorPurpose::AdminCaller);
+            self.replenish_reserve_of(DescriptorPurpose::AdminConnection);
             return;
         };
         let token = admin_caller_token(slot);
@@ -63,7 +64,7 @@
         if let Err(error) = self.registry.register(&mut stream, token, interest) {
             log::warn!("cannot register an admin connection with the event loop: {error}");
             drop(stream);
-            self.replenish_reserve_of(DescriptorPurpose::AdminCaller);
+            self.replenish_reserve_of(DescriptorPurpose::AdminConnection);
             return;
         }
         let now = self.now();
@@ -120,7 +121,7 @@
         let _ = self.registry.deregister(&mut connection.stream);
         self.timers.cancel(connection.timer);
         drop(connection);
-        self.replenish_reserve_of(DescriptorPurpose::AdminCaller);
+        self.replenish_reserve_of(DescriptorPurpose::AdminConnection);
     }
 
     fn admin_request_timed_out(&mut self, slot: usize) {
--- a/proxy/src/descriptors/mod.rs
+++ b/proxy/src/descriptors/mod.rs
@@ -31,7 +31,7 @@
     /// The connection to discovery.
     Discovery,
     /// A connection to the admin API.
-    AdminCaller,
+    AdminConnection,
     /// A file that is open only while it is read or written.
     File,
     /// The connection to the newer process of an upgrade.
@@ -46,7 +46,7 @@
         DescriptorPurpose::Client,
         DescriptorPurpose::Attempt,
         DescriptorPurpose::Discovery,
-        DescriptorPurpose::AdminCaller,
+        DescriptorPurpose::AdminConnection,
         DescriptorPurpose::File,
         DescriptorPurpose::Handover,
         DescriptorPurpose::Cluster,
@@ -58,7 +58,7 @@
             DescriptorPurpose::Client => "client",
             DescriptorPurpose::Attempt => "attempt",
             DescriptorPurpose::Discovery => "discovery",
-            DescriptorPurpose::AdminCaller => "admin_caller",
+            DescriptorPurpose::AdminConnection => "admin_caller",
             DescriptorPurpose::File => "file",
             DescriptorPurpose::Handover => "handover",
             DescriptorPurpose::Cluster => "cluster",
--- a/proxy/src/descriptors/proxy_reserve.rs
+++ b/proxy/src/descriptors/proxy_reserve.rs
@@ -73,10 +73,10 @@
                 self.attempt_reserve.saturating_sub(open)
             }
             DescriptorPurpose::Discovery => usize::from(!self.discovery.is_connected()),
-            DescriptorPurpose::AdminCaller if self.admin.is_listening() => {
+            DescriptorPurpose::AdminConnection if self.admin.is_listening() => {
                 RESERVED_ADMIN_CONNECTIONS.saturating_sub(self.admin.connection_count())
             }
-            DescriptorPurpose::AdminCaller => 0,
+            DescriptorPurpose::AdminConnection => 0,
             DescriptorPurpose::File => 1,
             DescriptorPurpose::Handover => usize::from(!self.upgrade.has_newer_process()),
             DescriptorPurpose::Cluster => {
--- a/proxy/src/downstream/eviction.rs
+++ b/proxy/src/downstream/eviction.rs
@@ -25,7 +25,7 @@
         };
         let longest_idle_key = |is_candidate: &dyn Fn(&DownstreamConnection) -> bool| {
             self.table
-                .key_with_least(|client| is_candidate(client).then_some(client.idle_since_ms))
+                .min_key_by(|client| is_candidate(client).then_some(client.idle_since_ms))
         };
         longest_idle_key(&|client| client.is_lingering() && is_evictable(client))
             .or_else(|| {
@@ -57,7 +57,7 @@
     /// Closes the connection that has been idle longest, outside the grace period. Returns whether there was one.
     pub fn close_idle_downstream(&mut self) -> bool {
         let now_ms = self.clock.now();
-        let longest_idle_key = self.downstream.table.key_with_least(|client| {
+        let longest_idle_key = self.downstream.table.min_key_by(|client| {
             let may_close = client.is_idle()
                 && now_ms - client.idle_since_ms > NEW_CLIENT_GRACE_MS
                 && is_silent(&client.stream);
--- a/proxy/src/slot_table.rs
+++ b/proxy/src/slot_table.rs
@@ -137,8 +137,8 @@
             .collect()
     }
 
-    /// The key of the entry with the least rank, of those that have one; the first of equals.
-    pub fn key_with_least(&self, rank: impl Fn(&T) -> Option<f64>) -> Option<K> {
+    /// The key of the first entry with the lowest rank, among those with a rank.
+    pub fn min_key_by(&self, rank: impl Fn(&T) -> Option<f64>) -> Option<K> {
         self.entries
             .iter()
             .filter_map(|(key, entry)| Some((key, rank(entry)?)))
--- a/proxy/src/streaming/response.rs
+++ b/proxy/src/streaming/response.rs
@@ -23,18 +23,18 @@
 
 impl Proxy {
     /// Sends head and first piece to the client. From here on the request cannot be retried.
-    pub(crate) fn begin_response_stream(&mut self, key: UpstreamKey, mut inbox: Buffer) {
+    pub(crate) fn begin_response_stream(&mut self, key: UpstreamKey, mut read_buffer: Buffer) {
         let now = self.clock.now();
         let attempt = self.upstream.connections[key].attempt_mut();
         let Some((attempt, request)) = attempt.and_then(|a| a.request.map(|request| (a, request)))
         else {
-            return self.cancel_response_stream(key, inbox);
+            return self.cancel_response_stream(key, read_buffer);
         };
         let (Some(response), Some(client)) = (
             attempt.response_state.response(),
             self.requests.answered(request),
         ) else {
-            return self.cancel_response_stream(key, inbox);
+            return self.cancel_response_stream(key, read_buffer);
         };
         let head = response.message.body_start;
         let end = response.message.body_end;
@@ -52,21 +52,27 @@
         // Overwritten once the response is complete.
         self.downstream.set_outcome(client, RequestOutcome::Failed);
         self.respond_with(client, |close, write_buffer| {
-            http::write_response_start(&inbox.filled()[..end], head, framing, close, write_buffer)
+            http::write_response_start(
+                &read_buffer.filled()[..end],
+                head,
+                framing,
+                close,
+                write_buffer,
+            )
         });
         let Some(attempt) = self.upstream.attempt_mut(key) else {
-            return self.buffers.give_back(inbox);
+            return self.buffers.give_back(read_buffer);
         };
         if let Some(response) = attempt.response_state.response_mut() {
-            response.message.consume(&mut inbox);
+            response.message.consume(&mut read_buffer);
         }
-        attempt.read_buffer = Some(inbox);
+        attempt.read_buffer = Some(read_buffer);
         self.upstream_timeout(key);
     }
 
     /// Cancels the attempt, as no client waits for its response any more.
-    fn cancel_response_stream(&mut self, key: UpstreamKey, inbox: Buffer) {
-        self.buffers.give_back(inbox);
+    fn cancel_response_stream(&mut self, key: UpstreamKey, read_buffer: Buffer) {
+        self.buffers.give_back(read_buffer);
         self.fail_attempt(key, AttemptOutcome::Cancelled, LoadReport::default());
     }
 
@@ -102,7 +108,7 @@
             return ResponseStreamStep::Pending;
         };
         let client = *client;
-        let Some(inbox) = &mut attempt.read_buffer else {
+        let Some(read_buffer) = &mut attempt.read_buffer else {
             return ResponseStreamStep::Pending;
         };
         let Some(write_buffer) = self.downstream.drained_response_buffer(client) else {
@@ -113,7 +119,7 @@
         if !has_piece && !message.is_complete() {
             return self.read_response_piece(key, now);
         }
-        message.move_body(inbox, write_buffer, *chunked);
+        message.move_body(read_buffer, write_buffer, *chunked);
         let is_last = message.is_complete();
         attempt.last_progress_at = now;
         self.downstream.restart_write_timeout(client, now);
@@ -127,29 +133,29 @@
     fn read_response_piece(&mut self, key: UpstreamKey, now: f64) -> ResponseStreamStep {
         let connection = &mut self.upstream.connections[key];
         let endpoint = connection.endpoint;
-        let inbox = connection
+        let read_buffer = connection
             .attempt_mut()
             .and_then(|attempt| attempt.read_buffer.take());
-        let Some(mut inbox) = inbox else {
+        let Some(mut read_buffer) = read_buffer else {
             return ResponseStreamStep::Pending;
         };
-        let read_outcome = connection.read_into(&mut inbox);
+        let read_outcome = connection.read_into(&mut read_buffer);
         if read_outcome == ReadOutcome::Received {
             self.upstream.record_activity(endpoint, now);
         }
         let Some(attempt) = self.upstream.connections[key].attempt_mut() else {
-            self.buffers.give_back(inbox);
+            self.buffers.give_back(read_buffer);
             return ResponseStreamStep::Pending;
         };
         if read_outcome == ReadOutcome::Received {
             attempt.last_progress_at = now;
         }
-        let inbox = attempt.read_buffer.insert(inbox);
+        let read_buffer = attempt.read_buffer.insert(read_buffer);
         let Some(response) = attempt.response_state.response_mut() else {
             return ResponseStreamStep::Pending;
         };
         let message = &mut response.message;
-        let decoded = message.decode_body(inbox);
+        let decoded = message.decode_body(read_buffer);
         match (&decoded, read_outcome) {
             (Ok(_), ReadOutcome::Received) => ResponseStreamStep::Progress,
             (Ok(_), ReadOutcome::WouldBlock) => ResponseStreamStep::Pending,
@@ -183,9 +189,9 @@
         let has_extra_bytes = attempt
             .read_buffer
             .as_ref()
-            .is_some_and(|inbox| !inbox.filled().is_empty());
-        if let Some(inbox) = attempt.read_buffer {
-            self.buffers.give_back(inbox);
+            .is_some_and(|read_buffer| !read_buffer.filled().is_empty());
+        if let Some(read_buffer) = attempt.read_buffer {
+            self.buffers.give_back(read_buffer);
         }
         self.counters.requests_succeeded += 1;
         self.downstream
--- a/proxy/src/upstream/connection_pool.rs
+++ b/proxy/src/upstream/connection_pool.rs
@@ -231,7 +231,7 @@
         let longest_idle = self
             .upstream
             .connections
-            .key_with_least(UpstreamConnection::idle_since);
+            .min_key_by(UpstreamConnection::idle_since);
         if let Some(key) = longest_idle {
             self.close_idle_connection(key);
         }
