--- a/fault-injection/src/harness/clients.rs
+++ b/fault-injection/src/harness/clients.rs
@@ -103,7 +103,7 @@
 
 impl Harness {
     /// Starts the clients' load.
-    pub fn open(&mut self) {
+    pub fn start_load(&mut self) {
         if self.clients.load_started {
             return;
         }
@@ -115,7 +115,7 @@
     }
 
     /// Stops the clients' load.
-    pub fn shut(&mut self) {
+    pub fn stop_load(&mut self) {
         self.rate = 0.0;
     }
 
--- a/fault-injection/src/harness/event_loop.rs
+++ b/fault-injection/src/harness/event_loop.rs
@@ -13,7 +13,7 @@
 const FIRST_RELAY: usize = 100_000;
 const FIRST_CONNECTION: usize = 1_000_000;
 const EVENT_CAPACITY: usize = 1024;
-/// How often `until` evaluates its condition while no event occurs.
+/// How often `run_until` evaluates its condition while no event occurs.
 const CONDITION_POLL_INTERVAL_MS: f64 = 20.0;
 
 /// The part of the environment that a socket belongs to.
@@ -150,7 +150,7 @@
     }
 
     /// Processes events for this duration.
-    pub fn pass(&mut self, duration_ms: f64) {
+    pub fn advance(&mut self, duration_ms: f64) {
         let end_ms = self.now() + duration_ms;
         while self.now() < end_ms {
             self.run_once(end_ms);
@@ -158,7 +158,7 @@
     }
 
     /// Processes events until a condition holds or the timeout expires. Returns whether the condition holds.
-    pub fn until(
+    pub fn run_until(
         &mut self,
         timeout_ms: f64,
         mut condition: impl FnMut(&mut Harness) -> bool,
--- a/fault-injection/src/harness/invariants.rs
+++ b/fault-injection/src/harness/invariants.rs
@@ -17,8 +17,8 @@
 
 impl Harness {
     /// Returns descriptions of the violated invariants; empty if there are none.
-    pub fn broken(&self) -> Vec<String> {
-        let mut broken: Vec<String> = self
+    pub fn violations(&self) -> Vec<String> {
+        let mut descriptions: Vec<String> = self
             .invariants
             .violations
             .iter()
@@ -33,11 +33,11 @@
             .collect();
         let counts = self.invariants.counts();
         if counts[Rule::NoWorkForDepartedClients as usize] > 0 {
-            broken.push(Rule::NoWorkForDepartedClients.name().to_string());
+            descriptions.push(Rule::NoWorkForDepartedClients.name().to_string());
         }
         if counts.iter().sum::<u64>() > 0 {
-            broken.push(format!("counts {counts:?}"));
+            descriptions.push(format!("counts {counts:?}"));
         }
-        broken
+        descriptions
     }
 }
--- a/fault-injection/src/harness/measurements.rs
+++ b/fault-injection/src/harness/measurements.rs
@@ -93,7 +93,7 @@
     }
 
     /// Returns the number of attempts that reached any endpoint.
-    pub fn reached(&self) -> usize {
+    pub fn attempt_count(&self) -> usize {
         self.measurements.attempts.len()
     }
 
--- a/fault-injection/src/harness/mod.rs
+++ b/fault-injection/src/harness/mod.rs
@@ -42,8 +42,8 @@
 
 /// Runs several proxy processes and their environment on loopback, in the caller's thread.
 ///
-/// Events are processed only in [`pass`](Harness::pass) and [`until`](Harness::until). Proxies and endpoints are
-/// identified by zero-based indexes; times are in milliseconds since the harness was created.
+/// Events are processed only in [`advance`](Harness::advance) and [`run_until`](Harness::run_until). Proxies and
+/// endpoints are identified by zero-based indexes; times are in milliseconds since the harness was created.
 pub struct Harness {
     /// The proxies, by index.
     pub proxies: Vec<ProxyProcess>,
--- a/fault-injection/src/harness/observations.rs
+++ b/fault-injection/src/harness/observations.rs
@@ -129,7 +129,7 @@
     }
 
     /// Returns whether the last view of each of these proxies has exactly the others of them alive.
-    pub fn agree(&self, proxies: &[usize]) -> bool {
+    pub fn views_agree(&self, proxies: &[usize]) -> bool {
         proxies.iter().all(|proxy| {
             let others = proxies.iter().copied().filter(|other| other != proxy);
             self.view(*proxy)
--- a/fault-injection/src/harness/paths.rs
+++ b/fault-injection/src/harness/paths.rs
@@ -11,7 +11,7 @@
 
 impl Harness {
     /// Sets the faults on the path from each proxy in `from` to each proxy in `to`.
-    pub fn ways(&mut self, from: &[usize], to: &[usize], faults: PathFaults) {
+    pub fn set_path_faults(&mut self, from: &[usize], to: &[usize], faults: PathFaults) {
         for sender in from {
             for receiver in to {
                 self.relays.set_faults(*sender, *receiver, faults);
@@ -28,7 +28,7 @@
         for group in groups {
             for other in groups {
                 let faults = if group == other { within } else { between };
-                self.ways(group, other, faults);
+                self.set_path_faults(group, other, faults);
             }
         }
     }
--- a/fault-injection/src/harness/proxies.rs
+++ b/fault-injection/src/harness/proxies.rs
@@ -31,14 +31,14 @@
 
     /// Writes a proxy's files with the initial cluster key.
     pub(crate) fn write_files(&self, proxy: usize) {
-        self.furnish(proxy, &[CLUSTER_KEY]);
+        self.write_files_with_keys(proxy, &[CLUSTER_KEY]);
     }
 
     /// Writes a proxy's files with these cluster keys.
     ///
     /// # Panics
     /// If the run's directory is not writable.
-    pub fn furnish(&self, proxy: usize, keys: &[&str]) {
+    pub fn write_files_with_keys(&self, proxy: usize, keys: &[&str]) {
         let mut settings = self.environment.settings(proxy);
         if let Some(configured) = self.start.configured_proxies {
             settings["GroupSize"] = configured.into();
@@ -90,7 +90,7 @@
     }
 
     /// Resumes a stopped proxy with SIGCONT.
-    pub fn go_on(&mut self, proxy: usize) {
+    pub fn resume(&mut self, proxy: usize) {
         self.proxies[proxy].resume();
         self.clients.in_rotation[proxy] = true;
     }
--- a/fault-injection/src/run/faults.rs
+++ b/fault-injection/src/run/faults.rs
@@ -242,7 +242,7 @@
     match kind {
         FaultKind::Kill => harness.start(target, true),
         FaultKind::KillEmpty => harness.start(target, false),
-        FaultKind::Stop => harness.go_on(target),
+        FaultKind::Stop => harness.resume(target),
         FaultKind::Terminate => {
             // It may still be at its last answers.
             harness.kill(target);
--- a/fault-injection/src/run/mod.rs
+++ b/fault-injection/src/run/mod.rs
@@ -75,11 +75,11 @@
     let mut harness = Harness::new(environment, start);
     start_first(&mut harness, script, parameters.cluster)?;
     let joined_ms = harness.now();
-    harness.open();
+    harness.start_load();
     let record = schedule_faults(&mut harness, script, parameters.seed);
     let resource_use = run_load(&mut harness, script);
-    harness.shut();
-    harness.pass(SETTLE_MS);
+    harness.stop_load();
+    harness.advance(SETTLE_MS);
     let record = record.borrow();
     let outcome = report::Outcome {
         harness: &harness,
@@ -108,12 +108,12 @@
     }
     let ready = |harness: &mut Harness| {
         if cluster {
-            harness.agree(&first)
+            harness.views_agree(&first)
         } else {
             first.iter().all(|proxy| harness.accepts_clients(*proxy))
         }
     };
-    if harness.until(JOIN_TIMEOUT_MS, ready) {
+    if harness.run_until(JOIN_TIMEOUT_MS, ready) {
         return Ok(());
     }
     Err(RunError::NotJoined {
@@ -157,7 +157,7 @@
     let bytes_before = harness.relays.forwarded_bytes();
     let cpu_before_ms = harness.cpu_ms();
     let began_ms = harness.now();
-    harness.pass(script.seconds * 1000.0);
+    harness.advance(script.seconds * 1000.0);
     let seconds = (harness.now() - began_ms) / 1000.0;
     let proxies = script.processes as f64;
     let bytes = (harness.relays.forwarded_bytes() - bytes_before) as f64;
--- a/fault-injection/src/run/report.rs
+++ b/fault-injection/src/run/report.rs
@@ -144,7 +144,7 @@
             false_alarms: self.false_alarms(),
             service: harness.service,
             rules_broken: harness.invariants.counts(),
-            broken: harness.broken(),
+            broken: harness.violations(),
             clients_left,
             attempts_after_leaves,
             assumed_proxies_at_end: self.assumed_proxies_at_end(),
--- a/fault-injection/src/soak/checks.rs
+++ b/fault-injection/src/soak/checks.rs
@@ -55,7 +55,7 @@
     record: &SoakRecord,
 ) -> SoakReport {
     let mut findings = Vec::new();
-    let rules = harness.broken().into_iter().map(FindingKind::Rule);
+    let rules = harness.violations().into_iter().map(FindingKind::Rule);
     findings.extend(rules.map(|kind| Finding { proxy: None, kind }));
     findings.extend(failed_calls(harness));
     findings.extend(late_readiness(harness));
@@ -151,7 +151,7 @@
     let before = applied(harness);
     harness.write_files(proxy);
     harness.proxies[proxy].reload();
-    let is_applied = harness.until(APPLIED_WITHIN_MS, |harness| applied(harness) > before);
+    let is_applied = harness.run_until(APPLIED_WITHIN_MS, |harness| applied(harness) > before);
     (!is_applied).then_some(FindingKind::ReloadNotApplied)
 }
 
@@ -168,6 +168,6 @@
             descriptions: harness.proxies[proxy].describe_descriptors(),
         })
     };
-    harness.until(AT_REST_WITHIN_MS, |harness| excess(harness).is_none());
+    harness.run_until(AT_REST_WITHIN_MS, |harness| excess(harness).is_none());
     excess(harness)
 }
--- a/fault-injection/src/soak/mod.rs
+++ b/fault-injection/src/soak/mod.rs
@@ -65,18 +65,18 @@
     start_all(&mut harness)?;
     // The last call for readiness may still be answered: a proxy lends a reserved descriptor out for that, and for an
     // instant holds one less.
-    harness.pass(BEFORE_LOAD_MS);
+    harness.advance(BEFORE_LOAD_MS);
     let at_rest = RestState::of(&harness);
     let record = Rc::new(RefCell::new(SoakRecord::default()));
     schedule(&mut harness, &plan, &record);
-    harness.open();
+    harness.start_load();
     if plan.idle_clients > 0 {
         harness.start_idle_clients(plan.idle_clients);
     }
-    harness.pass(LOAD_MS);
-    harness.shut();
+    harness.advance(LOAD_MS);
+    harness.stop_load();
     harness.stop_idle_clients();
-    harness.pass(SETTLE_MS);
+    harness.advance(SETTLE_MS);
     let record = record.borrow();
     Ok(checks::judge(&mut harness, seed, &at_rest, &record))
 }
@@ -87,7 +87,7 @@
         harness.start_with_readiness_checks(proxy, false);
     }
     let timeout_ms = checks::READY_WITHIN_MS;
-    harness.until(timeout_ms, |harness| {
+    harness.run_until(timeout_ms, |harness| {
         (0..proxies).all(|proxy| harness.is_ready(proxy))
     });
     match (0..proxies).find(|proxy| !harness.is_ready(*proxy)) {
--- a/fault-injection/tests/client_left.rs
+++ b/fault-injection/tests/client_left.rs
@@ -41,14 +41,14 @@
     let mut harness = Harness::new(environment, start);
     harness.start_all();
     // It accepts clients as soon as it has the endpoint list.
-    harness.pass(500.0);
-    harness.open();
-    let caught = harness.until(20_000.0, |harness| {
+    harness.advance(500.0);
+    harness.start_load();
+    let caught = harness.run_until(20_000.0, |harness| {
         harness.invariants.counts()[Rule::NoWorkForDepartedClients as usize] > 10
     });
-    assert!(caught, "{:?}", harness.broken());
+    assert!(caught, "{:?}", harness.violations());
     assert!(harness
-        .broken()
+        .violations()
         .iter()
         .any(|broken| broken.contains("nobody who has left served on")));
 }
--- a/proxy/tests/cluster/authentication.rs
+++ b/proxy/tests/cluster/authentication.rs
@@ -10,9 +10,9 @@
 #[test]
 fn replays_garbage_strangers_and_floods_are_rejected_and_delay_nobody() {
     let mut harness = started_cluster("flood", 5);
-    harness.pass(2000.0);
+    harness.advance(2000.0);
     harness.kill(4);
-    harness.pass(200.0);
+    harness.advance(200.0);
     harness.start(4, true);
     assert_agree_within(&mut harness, DISCOVERY_MS, &[0, 1, 2, 3, 4]);
     let replayed_at_ms = harness.now();
@@ -22,14 +22,14 @@
     assert!(replayed > 20, "{replayed}");
     let before = rejected_datagrams(&harness);
     flood_with_garbage(&mut harness);
-    harness.pass(1000.0);
+    harness.advance(1000.0);
     assert_nobody_failed(&harness, &[0, 1, 2, 3, 4], replayed_at_ms);
     assert!(rejected_datagrams(&harness) > before + 1000, "{before}");
     // A proxy with another key is a stranger.
     harness.kill(3);
-    harness.furnish(3, &["the key of quite another fleet"]);
+    harness.write_files_with_keys(3, &["the key of quite another fleet"]);
     harness.start(3, true);
-    harness.pass(4000.0);
+    harness.advance(4000.0);
     assert!(
         harness
             .view(3)
@@ -62,7 +62,7 @@
                 .collect();
             let _ = socket.send_to(&garbage, to);
         }
-        harness.pass(5.0);
+        harness.advance(5.0);
     }
 }
 
@@ -73,14 +73,14 @@
     let new = "the key that comes after it";
     for keys in [&[old, new][..], &[new, old], &[new]] {
         for proxy in 0..4 {
-            harness.furnish(proxy, keys);
+            harness.write_files_with_keys(proxy, keys);
             harness.proxies[proxy].reload();
-            harness.pass(100.0);
+            harness.advance(100.0);
         }
     }
     let exchanged_at_ms = harness.now();
-    harness.pass(4000.0);
+    harness.advance(4000.0);
     assert_nobody_failed(&harness, &[0, 1, 2, 3], exchanged_at_ms);
-    assert!(harness.agree(&[0, 1, 2, 3]), "{:?}", views(&harness));
+    assert!(harness.views_agree(&[0, 1, 2, 3]), "{:?}", views(&harness));
     assert_rules_kept(&mut harness);
 }
--- a/proxy/tests/cluster/common.rs
+++ b/proxy/tests/cluster/common.rs
@@ -84,8 +84,8 @@
     harness.start_all();
     let all: Vec<usize> = (0..proxies).collect();
     assert_agree_within(&mut harness, DISCOVERY_MS, &all);
-    harness.open();
-    harness.pass(1000.0);
+    harness.start_load();
+    harness.advance(1000.0);
     harness
 }
 
@@ -98,7 +98,7 @@
 
 /// Asserts that these proxies hold exactly each other for alive, within so many milliseconds.
 pub(crate) fn assert_agree_within(harness: &mut Harness, milliseconds: f64, proxies: &[usize]) {
-    let agreed = harness.until(milliseconds, |harness| harness.agree(proxies));
+    let agreed = harness.run_until(milliseconds, |harness| harness.views_agree(proxies));
     assert!(agreed, "{:?}", views(harness));
 }
 
@@ -123,9 +123,13 @@
 
 /// Asserts that no rule was broken, and requests were served.
 pub(crate) fn assert_rules_kept(harness: &mut Harness) {
-    harness.shut();
-    harness.pass(2500.0);
-    assert!(harness.broken().is_empty(), "{:#?}", harness.broken());
+    harness.stop_load();
+    harness.advance(2500.0);
+    assert!(
+        harness.violations().is_empty(),
+        "{:#?}",
+        harness.violations()
+    );
     let service = harness.service;
     assert!(
         service.requests > 0
--- a/proxy/tests/cluster/departed_clients.rs
+++ b/proxy/tests/cluster/departed_clients.rs
@@ -16,11 +16,11 @@
     let mut harness = harness_in(script, "leavers", |start| start.cluster = false);
     harness.rate = 20.0;
     harness.start_all();
-    harness.pass(500.0);
-    harness.open();
+    harness.advance(500.0);
+    harness.start_load();
     // Clients leave after 750 ms; attempts at an endpoint fail every 300 ms, so that requests would be retried.
     let mut restarts = 0;
-    let many_left = harness.until(20_000.0, |harness| {
+    let many_left = harness.run_until(20_000.0, |harness| {
         if harness.now() > 300.0 / ENDPOINTS as f64 * restarts as f64 {
             harness.restart_endpoint(restarts % ENDPOINTS);
             restarts += 1;
@@ -33,7 +33,7 @@
         [lost, twice, drains, left],
         [0; 4],
         "{:#?}",
-        harness.broken()
+        harness.violations()
     );
     let clients_left = harness.invariants.clients_left();
     let attempts_after_ms = harness.invariants.attempt_delays_after_departure_ms();
--- a/proxy/tests/cluster/draining.rs
+++ b/proxy/tests/cluster/draining.rs
@@ -9,9 +9,9 @@
     harness.discovery_silent[2] = true;
     harness.discovery_silent[3] = true;
     harness.drain(5);
-    harness.pass(1500.0);
+    harness.advance(1500.0);
     let drained_at_ms = harness.now();
-    harness.pass(3000.0);
+    harness.advance(3000.0);
     let to_draining: Vec<usize> = (0..4)
         .map(|proxy| harness.attempts(proxy, 5, drained_at_ms))
         .collect();
@@ -30,7 +30,7 @@
     harness.discovery_silent[3] = false;
     let restarted_at_ms = harness.now();
     assert!(
-        harness.until(20_000.0, |harness| harness.attempts(2, 5, restarted_at_ms)
+        harness.run_until(20_000.0, |harness| harness.attempts(2, 5, restarted_at_ms)
             > 0),
         "ready again, for a proxy of its zone whose discovery was silent"
     );
@@ -40,7 +40,7 @@
             .and_then(|page| page["held_stricter"].as_u64())
     };
     assert!(
-        harness.until(10_000.0, |harness| overridden(harness) == Some(0)),
+        harness.run_until(10_000.0, |harness| overridden(harness) == Some(0)),
         "its own list has come as far"
     );
     assert_rules_kept(&mut harness);
--- a/proxy/tests/cluster/failure_detection.rs
+++ b/proxy/tests/cluster/failure_detection.rs
@@ -15,17 +15,17 @@
     let all_detected = |harness: &Harness| {
         (4..6).all(|killed| all_saw(harness, &live, killed, "failed", killed_at_ms))
     };
-    let detected = harness.until(8000.0, |harness| all_detected(harness));
+    let detected = harness.run_until(8000.0, |harness| all_detected(harness));
     assert!(detected, "{:?}", views(&harness));
     assert_nobody_failed(&harness, &live, killed_at_ms);
     let is_partial =
         |harness: &Harness, proxy: &usize| harness.view(*proxy).unwrap().reach == "part";
-    assert!(harness.until(2000.0, |harness| live
+    assert!(harness.run_until(2000.0, |harness| live
         .iter()
         .all(|proxy| is_partial(harness, proxy))));
     let left_at_ms = harness.now();
     harness.terminate(3);
-    assert!(harness.until(8000.0, |harness| all_saw(
+    assert!(harness.run_until(8000.0, |harness| all_saw(
         harness,
         &live[..3],
         3,
@@ -34,7 +34,7 @@
     )));
     // They start again under their old names, and wait for nobody to notice that the old processes ended.
     for proxy in [3, 4, 5] {
-        assert!(harness.until(5000.0, |harness| !harness.proxies[proxy].runs()));
+        assert!(harness.run_until(5000.0, |harness| !harness.proxies[proxy].runs()));
     }
     for proxy in [3, 4, 5] {
         harness.start(proxy, true);
@@ -49,7 +49,7 @@
     let paused_at_ms = harness.now();
     harness.stop(2);
     let others = [0, 1, 3, 4];
-    assert!(harness.until(8000.0, |harness| all_saw(
+    assert!(harness.run_until(8000.0, |harness| all_saw(
         harness,
         &others,
         2,
@@ -57,9 +57,9 @@
         paused_at_ms
     )));
     harness.drain(0);
-    harness.pass((paused_at_ms + 10_000.0 - harness.now()).max(0.0));
+    harness.advance((paused_at_ms + 10_000.0 - harness.now()).max(0.0));
     let resumed_at_ms = harness.now();
-    harness.go_on(2);
+    harness.resume(2);
     assert_agree_within(&mut harness, 8000.0, &[0, 1, 2, 3, 4]);
     assert_nobody_failed(&harness, &others, resumed_at_ms);
     let false_failure = harness.views.iter().find(|view| {
@@ -79,8 +79,8 @@
         cut: true,
         ..PathFaults::default()
     };
-    harness.ways(&[1], &[0], cut);
-    harness.pass(5000.0);
+    harness.set_path_faults(&[1], &[0], cut);
+    harness.advance(5000.0);
     assert_nobody_failed(&harness, &[0, 1, 2, 3, 4], started_at_ms);
     let all = [0, 1, 2, 3, 4];
     let lossy = PathFaults {
@@ -91,7 +91,7 @@
         cut: false,
     };
     harness.partition(&[&all], lossy);
-    harness.pass(12_000.0);
+    harness.advance(12_000.0);
     assert_nobody_failed(&harness, &all, started_at_ms);
     harness.partition(&[&all], PathFaults::default());
     assert_agree_within(&mut harness, 8000.0, &all);
--- a/proxy/tests/cluster/partitions.rs
+++ b/proxy/tests/cluster/partitions.rs
@@ -11,13 +11,13 @@
     let groups: [&[usize]; 3] = [&[0, 1], &[2, 3], &[4, 5]];
     harness.partition(&groups, PathFaults::default());
     let cut_at_ms = harness.now();
-    assert!(harness.until(10_000.0, |harness| {
+    assert!(harness.run_until(10_000.0, |harness| {
         all_saw(harness, &[0, 1], 5, "failed", cut_at_ms)
             && all_saw(harness, &[4, 5], 0, "failed", cut_at_ms)
     }));
     // Each side reaches two of six; an endpoint restarts meanwhile, and all six send to it in its slow start.
     harness.restart_endpoint(1);
-    harness.pass(3000.0);
+    harness.advance(3000.0);
     for view in harness.views.iter().filter(|view| view.at_ms > cut_at_ms) {
         assert!(
             view.assumed_proxies >= 5.99,
@@ -26,7 +26,7 @@
         assert!(view.slow_start_share <= 1.0 + 1e-9);
     }
     harness.partition(&[&[0, 1, 4, 5], &[2, 3]], PathFaults::default());
-    assert!(harness.until(DISCOVERY_MS, |harness| {
+    assert!(harness.run_until(DISCOVERY_MS, |harness| {
         all_saw(harness, &[0], 4, "alive", cut_at_ms + 6000.0)
     }));
     harness.partition(&[&[0, 1, 2, 3, 4, 5]], PathFaults::default());
@@ -44,15 +44,15 @@
 fn an_isolated_proxy_serves_on_as_one_that_shares_nothing() {
     let mut harness = cluster_harness("alone", 3, |start| start.seeds = 1);
     harness.start(1, false);
-    let is_isolated = harness.until(10_000.0, |harness| {
+    let is_isolated = harness.run_until(10_000.0, |harness| {
         let view = harness.view(1);
         view.is_some_and(|view| view.reach == "alone" && view.slow_start_share == 1.0)
     });
     assert!(is_isolated, "{:?}", harness.view(1));
-    harness.open();
-    harness.pass(1000.0);
+    harness.start_load();
+    harness.advance(1000.0);
     harness.start(2, false);
-    harness.pass(500.0);
+    harness.advance(500.0);
     harness.start(0, false);
     assert_agree_within(&mut harness, DISCOVERY_MS, &[0, 1, 2]);
     // Its datagrams alone are lost, both ways; its HTTP serves.
@@ -61,19 +61,19 @@
         cut: true,
         ..PathFaults::default()
     };
-    harness.ways(&[2], &[0, 1], cut);
-    harness.ways(&[0, 1], &[2], cut);
-    assert!(harness.until(8000.0, |harness| all_saw(
+    harness.set_path_faults(&[2], &[0, 1], cut);
+    harness.set_path_faults(&[0, 1], &[2], cut);
+    assert!(harness.run_until(8000.0, |harness| all_saw(
         harness,
         &[0, 1],
         2,
         "failed",
         cut_at_ms
     )));
-    let served_before = harness.reached();
-    harness.pass(2000.0);
+    let served_before = harness.attempt_count();
+    harness.advance(2000.0);
     assert!(
-        harness.reached() > served_before && harness.view(2).unwrap().reach == "alone",
+        harness.attempt_count() > served_before && harness.view(2).unwrap().reach == "alone",
         "{:?}",
         harness.view(2)
     );
--- a/proxy/tests/cluster/restarts.rs
+++ b/proxy/tests/cluster/restarts.rs
@@ -11,12 +11,12 @@
     for proxy in 0..5 {
         harness.terminate(proxy);
         assert!(
-            harness.until(8000.0, |harness| !harness.proxies[proxy].runs()),
+            harness.run_until(8000.0, |harness| !harness.proxies[proxy].runs()),
             "it ends"
         );
         harness.start(proxy, true);
         assert_agree_within(&mut harness, DISCOVERY_MS, &[0, 1, 2, 3, 4]);
-        harness.pass(300.0);
+        harness.advance(300.0);
     }
     assert_nobody_failed(&harness, &[0, 1, 2, 3, 4], 0.0);
     assert_rules_kept(&mut harness);
@@ -26,13 +26,13 @@
 fn two_proxies_under_one_name_are_reported_and_both_serve_on() {
     let mut harness = cluster_harness("twins", 4, |_| ());
     harness.proxies[3].name = Some("node-2".into());
-    harness.furnish(3, &[CLUSTER_KEY]);
+    harness.write_files_with_keys(3, &[CLUSTER_KEY]);
     harness.start_all();
     let all = [0, 1, 2, 3];
     assert_agree_within(&mut harness, DISCOVERY_MS, &all);
     let opened_at_ms = harness.now();
-    harness.open();
-    harness.pass(3000.0);
+    harness.start_load();
+    harness.advance(3000.0);
     let log = harness.proxies[0].log();
     assert!(log.contains("two proxies call themselves node-2"), "{log}");
     assert_nobody_failed(&harness, &all, opened_at_ms);
--- a/proxy/tests/cluster/slow_start.rs
+++ b/proxy/tests/cluster/slow_start.rs
@@ -12,17 +12,17 @@
     let mut harness = started_cluster("back", 9);
     let killed_at_ms = harness.now();
     (1..9).for_each(|proxy| harness.kill(proxy));
-    assert!(harness.until(10_000.0, |harness| {
+    assert!(harness.run_until(10_000.0, |harness| {
         (1..9).all(|killed| all_saw(harness, &[0], killed, "failed", killed_at_ms))
     }));
-    harness.pass(2000.0);
+    harness.advance(2000.0);
     (1..9).for_each(|proxy| harness.start(proxy, false));
     // Endpoints restart just as the proxies are back: those must agree before they send there.
     (0..3).for_each(|endpoint| harness.restart_endpoint(endpoint));
     let all: Vec<usize> = (0..9).collect();
     assert_agree_within(&mut harness, DISCOVERY_MS, &all);
     (3..6).for_each(|endpoint| harness.restart_endpoint(endpoint));
-    harness.pass(3000.0);
+    harness.advance(3000.0);
     let shares: f64 = all
         .iter()
         .map(|proxy| harness.view(*proxy).unwrap().slow_start_share)
@@ -40,9 +40,9 @@
     (0..4).for_each(|proxy| harness.start(proxy, false));
     let first = [0, 1, 2, 3];
     assert_agree_within(&mut harness, DISCOVERY_MS, &first);
-    harness.open();
+    harness.start_load();
     let share = |harness: &Harness, proxy: &usize| harness.view(*proxy).unwrap().slow_start_share;
-    assert!(harness.until(5000.0, |harness| {
+    assert!(harness.run_until(5000.0, |harness| {
         first.iter().all(|proxy| share(harness, proxy) == 1.0)
     }));
     (4..8).for_each(|proxy| harness.start(proxy, false));
@@ -55,7 +55,7 @@
             view.assumed_proxies >= 7.99 && (view.slow_start_share - 0.5).abs() < 1e-6
         })
     };
-    let even = harness.until(10_000.0, |harness| shares_evenly(harness));
+    let even = harness.run_until(10_000.0, |harness| shares_evenly(harness));
     assert!(even, "{:?}", views(&harness));
     // Whatever shares were held while views differed: never more than the budget, at any moment that was seen.
     let mut last = BTreeMap::new();
@@ -80,9 +80,9 @@
     // Ten requests a second at each proxy, thirty-three at each endpoint.
     harness.rate = 10.0;
     harness.start_all();
-    harness.pass(500.0);
-    harness.open();
-    harness.pass(8000.0);
+    harness.advance(500.0);
+    harness.start_load();
+    harness.advance(8000.0);
     for endpoints in [[0, 1], [2, 3]] {
         let restarted_at_ms = harness.now();
         let calls_per_ms = endpoints.map(|endpoint| {
@@ -91,7 +91,7 @@
         for endpoint in endpoints {
             harness.restart_endpoint(endpoint);
         }
-        harness.pass(4000.0);
+        harness.advance(4000.0);
         for (endpoint, calls_per_ms) in endpoints.into_iter().zip(calls_per_ms) {
             let budget = budget_multiple * calls_per_ms * window_ms;
             let most = harness.most_attempts_from_all(endpoint, restarted_at_ms, window_ms) as f64;
