--- a/bench-adapter/src/instance.rs
+++ b/bench-adapter/src/instance.rs
@@ -180,7 +180,7 @@
             _ => return Err(fields.invalid("Kind")),
         }
         self.names
-            .retain_endpoints(|endpoint| self.balancer.knows_endpoint(endpoint));
+            .retain_endpoints(|endpoint| self.balancer.has_endpoint(endpoint));
         Ok(())
     }
 
@@ -200,14 +200,14 @@
         let flags = fields.optional_integer(8, "Flags")?.unwrap_or(0);
         // Checked, but not used by the balancer.
         fields.optional_number(7, "EffortMs")?;
-        let key = fields.optional_integer(5, "Affinity")?;
+        let affinity_key = fields.optional_integer(5, "Affinity")?;
         let arrival = NewRequest {
             request: self.requests.insert(id),
             class,
             tenant,
             ttl_ms,
             client_retry: flags & CLIENT_RETRY_FLAG == CLIENT_RETRY_FLAG,
-            key,
+            affinity_key,
         };
         let now_ms = context.now_ms;
         let actions = &mut context.writer(&self.names, &mut self.requests);
@@ -273,7 +273,7 @@
         const NO_ATTEMPT: usize = usize::MAX;
         if let Some(request) = self.requests.find(fields.integer(2, "Req")?) {
             self.balancer
-                .streaming(context.now_ms, request, NO_ATTEMPT, true);
+                .set_body_streaming(context.now_ms, request, NO_ATTEMPT, true);
         }
         Ok(())
     }
--- a/fault-injection/src/run/faults.rs
+++ b/fault-injection/src/run/faults.rs
@@ -244,7 +244,7 @@
     match kind {
         FaultKind::Kill => harness.start(target, true),
         FaultKind::KillEmpty => harness.start(target, false),
-        FaultKind::Stop => harness.go_on(target),
+        FaultKind::Stop => harness.resume(target),
         FaultKind::Terminate => {
             // The graceful shutdown may not be complete.
             harness.kill(target);
--- a/fault-injection/src/run/mod.rs
+++ b/fault-injection/src/run/mod.rs
@@ -75,11 +75,11 @@
     let mut harness = Harness::new(environment, start);
     start_initial_proxies(&mut harness, script, parameters.cluster)?;
     let joined_ms = harness.now();
-    harness.open();
+    harness.start_load();
     let history = schedule_faults(&mut harness, script, parameters.seed);
     let resource_usage = run_load(&mut harness, script);
-    harness.shut();
-    harness.pass(SETTLE_MS);
+    harness.stop_load();
+    harness.advance(SETTLE_MS);
     let history = history.borrow();
     let completed = report::CompletedRun {
         harness: &harness,
@@ -112,12 +112,12 @@
     }
     let ready = |harness: &mut Harness| {
         if cluster {
-            harness.agree(&initial)
+            harness.views_agree(&initial)
         } else {
             initial.iter().all(|proxy| harness.accepts_clients(*proxy))
         }
     };
-    if harness.until(JOIN_TIMEOUT_MS, ready) {
+    if harness.run_until(JOIN_TIMEOUT_MS, ready) {
         return Ok(());
     }
     Err(RunError::NotReady {
@@ -163,7 +163,7 @@
     let bytes_before = harness.relays.forwarded_bytes();
     let cpu_before_ms = harness.cpu_ms();
     let start_ms = harness.now();
-    harness.pass(script.seconds * 1000.0);
+    harness.advance(script.seconds * 1000.0);
     let seconds = (harness.now() - start_ms) / 1000.0;
     let proxies = script.processes as f64;
     let bytes = (harness.relays.forwarded_bytes() - bytes_before) as f64;
--- a/fault-injection/src/soak/checks.rs
+++ b/fault-injection/src/soak/checks.rs
@@ -58,7 +58,7 @@
 ) -> SoakReport {
     let mut findings = Vec::new();
     let rules = harness
-        .broken()
+        .violations()
         .into_iter()
         .map(FindingKind::InvariantViolation);
     findings.extend(rules.map(|kind| Finding { proxy: None, kind }));
@@ -160,7 +160,7 @@
     let reloads_before = reload_count(harness);
     harness.write_files(proxy);
     harness.proxies[proxy].reload();
-    let is_applied = harness.until(RELOAD_TIMEOUT_MS, |harness| {
+    let is_applied = harness.run_until(RELOAD_TIMEOUT_MS, |harness| {
         reload_count(harness) > reloads_before
     });
     (!is_applied).then_some(FindingKind::ReloadNotApplied)
@@ -183,6 +183,6 @@
             descriptions: harness.proxies[proxy].describe_descriptors(),
         })
     };
-    harness.until(DESCRIPTOR_TIMEOUT_MS, |harness| excess(harness).is_none());
+    harness.run_until(DESCRIPTOR_TIMEOUT_MS, |harness| excess(harness).is_none());
     excess(harness)
 }
--- a/fault-injection/src/soak/mod.rs
+++ b/fault-injection/src/soak/mod.rs
@@ -64,18 +64,18 @@
     harness.rate = plan.rate;
     start_all(&mut harness)?;
     // The last readiness check may still be pending, during which a proxy holds one reserved descriptor less.
-    harness.pass(IDLE_BEFORE_LOAD_MS);
+    harness.advance(IDLE_BEFORE_LOAD_MS);
     let baseline = DescriptorBaseline::of(&harness);
     let recoveries = Rc::new(RefCell::new(DiscoveryRecoveries::default()));
     schedule_actions(&mut harness, &plan, &recoveries);
-    harness.open();
+    harness.start_load();
     if plan.idle_clients > 0 {
         harness.start_idle_clients(plan.idle_clients);
     }
-    harness.pass(LOAD_MS);
-    harness.shut();
+    harness.advance(LOAD_MS);
+    harness.stop_load();
     harness.stop_idle_clients();
-    harness.pass(SETTLE_MS);
+    harness.advance(SETTLE_MS);
     let recoveries = recoveries.borrow();
     Ok(checks::check_run(
         &mut harness,
@@ -91,7 +91,7 @@
         harness.start_with_readiness_checks(proxy, false);
     }
     let timeout_ms = checks::READY_TIMEOUT_MS;
-    harness.until(timeout_ms, |harness| {
+    harness.run_until(timeout_ms, |harness| {
         (0..proxies).all(|proxy| harness.is_ready(proxy))
     });
     match (0..proxies).find(|proxy| !harness.is_ready(*proxy)) {
--- a/fault-injection/tests/client_left.rs
+++ b/fault-injection/tests/client_left.rs
@@ -40,14 +40,14 @@
     let mut harness = Harness::new(environment, start);
     harness.start_all();
     // The proxy accepts clients as soon as it has the endpoint list.
-    harness.pass(500.0);
-    harness.open();
-    let detected = harness.until(20_000.0, |harness| {
+    harness.advance(500.0);
+    harness.start_load();
+    let detected = harness.run_until(20_000.0, |harness| {
         harness.invariants.counts()[Rule::NoWorkForDepartedClients as usize] > 10
     });
-    assert!(detected, "{:?}", harness.broken());
+    assert!(detected, "{:?}", harness.violations());
     assert!(harness
-        .broken()
+        .violations()
         .iter()
         .any(|violation| violation.contains("nobody who has left served on")));
 }
--- a/membership/tests/endpoint_gossip.rs
+++ b/membership/tests/endpoint_gossip.rs
@@ -48,7 +48,7 @@
     let mut view = view_at(10);
     assert!(view.receive(gossip(1, DRAINING, 5.0, 12)));
     assert_eq!(view.status(1), Some(status(DRAINING, 5.0)));
-    assert_eq!(view.overridden(), 1);
+    assert_eq!(view.overridden_count(), 1);
     assert_eq!(view.update_list(11, false, &[]), ListUpdate::default());
     assert_eq!(
         view.status(1),
@@ -57,7 +57,7 @@
     );
     let override_ended = ListUpdate {
         gossip: vec![],
-        overtaken: vec![1],
+        superseded: vec![1],
     };
     assert_eq!(
         view.update_list(12, false, &[]),
--- a/proxy/src/cluster/endpoint_gossip.rs
+++ b/proxy/src/cluster/endpoint_gossip.rs
@@ -48,7 +48,7 @@
                 status.is_some_and(|status| status.strictness > READY)
                     && cluster.list_entries.contains_key(endpoint)
             });
-        let changed: Vec<u64> = changes.overtaken.into_iter().chain(overridden).collect();
+        let changed: Vec<u64> = changes.superseded.into_iter().chain(overridden).collect();
         if !changed.is_empty() {
             self.apply_endpoint_statuses(&changed);
         }
--- a/proxy/src/cluster/events.rs
+++ b/proxy/src/cluster/events.rs
@@ -96,7 +96,7 @@
             second.address
         ),
         MembershipEvent::Paused(ms) => log::warn!("cluster: this process was paused for {ms:.0} ms"),
-        MembershipEvent::Reincarnated(incarnation) => {
+        MembershipEvent::IncarnationChanged(incarnation) => {
             log::warn!("cluster: superseded or declared failed; continuing as incarnation {incarnation}");
         }
         MembershipEvent::EndpointUpdate(..) => {}
--- a/proxy/src/cluster/state.rs
+++ b/proxy/src/cluster/state.rs
@@ -4,7 +4,7 @@
 use super::error::ClusterError;
 use super::socket::ClusterSocket;
 use crankmux::types::{EndpointId, EndpointUpdate};
-use crankmux_membership::assumptions::{Assumed, ClusterAssumptions};
+use crankmux_membership::assumptions::{ClusterAssumption, ClusterAssumptions};
 use crankmux_membership::endpoint_gossip::EndpointView;
 use crankmux_membership::{Membership, Reachability};
 use mio::Registry;
@@ -80,7 +80,7 @@
     }
 
     /// The assumed cluster size and this proxy's share of the slow-start budget.
-    pub fn assumed(&self) -> Assumed {
+    pub fn assumed(&self) -> ClusterAssumption {
         self.assumptions.current()
     }
 
--- a/proxy/src/proxy.rs
+++ b/proxy/src/proxy.rs
@@ -22,7 +22,7 @@
 use crate::upstream::Upstreams;
 use crankmux::dispatcher::Dispatcher;
 use crankmux::settings::NameIndex;
-use crankmux_membership::assumptions::Assumed;
+use crankmux_membership::assumptions::ClusterAssumption;
 use mio::net::TcpListener;
 use mio::{Poll, Registry};
 use serde_json::Value;
@@ -120,7 +120,7 @@
     /// The cluster, once joined.
     pub cluster: Option<Cluster>,
     /// The assumed cluster size and this proxy's share of the slow-start budget; `None` before it joins a cluster.
-    pub assumed_cluster: Option<Assumed>,
+    pub assumed_cluster: Option<ClusterAssumption>,
     /// Limit on the file descriptors of all processes of the proxy.
     pub(crate) descriptor_limit: usize,
     /// Limit on the buffer memory of all processes of the proxy.
--- a/proxy/src/slot_table.rs
+++ b/proxy/src/slot_table.rs
@@ -138,7 +138,7 @@
     }
 
     /// Returns the key of the entry with the lowest rank, or the first of several. Entries without a rank are skipped.
-    pub fn key_with_least(&self, rank: impl Fn(&T) -> Option<f64>) -> Option<K> {
+    pub fn min_key_by(&self, rank: impl Fn(&T) -> Option<f64>) -> Option<K> {
         self.entries
             .iter()
             .filter_map(|(key, entry)| Some((key, rank(entry)?)))
--- a/src/dispatcher.rs
+++ b/src/dispatcher.rs
@@ -19,7 +19,7 @@
 
 /// The final response to a request without a successful attempt.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum FinalAnswer {
+pub enum FinalResponse {
     /// The request was not executed; the client may safely retry it.
     Rejected {
         /// How long the client should wait before it retries.
@@ -37,7 +37,7 @@
     /// The attempts to start.
     pub attempts: Vec<NewAttempt>,
     /// The response to send to the client.
-    pub final_answer: Option<FinalAnswer>,
+    pub final_response: Option<FinalResponse>,
 }
 
 /// A timer's due time, in whole microseconds so that it can be ordered, and its number.
@@ -92,11 +92,11 @@
     }
 
     fn reject(&mut self, request: RequestId, retry_after_ms: f64) {
-        self.steps_mut(request).final_answer = Some(FinalAnswer::Rejected { retry_after_ms });
+        self.steps_mut(request).final_response = Some(FinalResponse::Rejected { retry_after_ms });
     }
 
     fn fail(&mut self, request: RequestId) {
-        self.steps_mut(request).final_answer = Some(FinalAnswer::Failed);
+        self.steps_mut(request).final_response = Some(FinalResponse::Failed);
     }
 
     fn set_timer(&mut self, at_ms: f64, timer: u64) {
@@ -138,8 +138,8 @@
 
     /// A long request or response body is being streamed by an attempt, so no further attempt may start. The
     /// endpoint is `executing` from the end of the request body until the response begins.
-    pub fn streaming(&mut self, now_ms: f64, request: RequestId, attempt: usize, executing: bool) {
-        self.balancer.streaming(now_ms, request, attempt, executing);
+    pub fn set_body_streaming(&mut self, now_ms: f64, request: RequestId, attempt: usize, executing: bool) {
+        self.balancer.set_body_streaming(now_ms, request, attempt, executing);
     }
 
     /// The client disconnected; it needs no response.
@@ -190,8 +190,8 @@
     }
 
     /// Whether the balancer has a record of this endpoint. If not, its index may be reused for another one.
-    pub fn knows_endpoint(&self, endpoint: EndpointId) -> bool {
-        self.balancer.knows_endpoint(endpoint)
+    pub fn has_endpoint(&self, endpoint: EndpointId) -> bool {
+        self.balancer.has_endpoint(endpoint)
     }
 
     /// Takes the list of endpoints to send a load probe to.
--- a/tests/module/endpoint_list.rs
+++ b/tests/module/endpoint_list.rs
@@ -4,7 +4,7 @@
     default_settings, endpoint_update, max_within_one_second, proxy_settings, ready_endpoints,
     Answer, Harness, SUCCESS, TTL_MS,
 };
-use crankmux::dispatcher::{Dispatcher, FinalAnswer};
+use crankmux::dispatcher::{Dispatcher, FinalResponse};
 use crankmux::settings::{NameIndex, Settings};
 use crankmux::types::{
     AttemptOutcome, AttemptResult, ClassId, EndpointId, EndpointState, LoadReport, NewRequest,
@@ -176,7 +176,7 @@
         self.dispatcher
             .update_endpoints(now_ms, &[old, new], false, false);
         self.names
-            .retain_endpoints(|endpoint| self.dispatcher.knows_endpoint(endpoint));
+            .retain_endpoints(|endpoint| self.dispatcher.has_endpoint(endpoint));
         assert_eq!(self.names.stable_hash(new.endpoint), round);
         (new.endpoint, new.pod)
     }
@@ -195,7 +195,7 @@
         tenant: None,
         ttl_ms: 1000.0 * TTL_MS,
         client_retry: false,
-        key: None,
+        affinity_key: None,
     };
     let steps = replaced.dispatcher.request_arrived(50_000.0, &arrival);
     assert_eq!(steps.attempts[0].endpoint, first);
@@ -220,9 +220,9 @@
         load: LoadReport::default(),
     };
     let steps = replaced.dispatcher.attempt_ended(550_000.0, &result);
-    assert_eq!(steps.final_answer, Some(FinalAnswer::Failed));
+    assert_eq!(steps.final_response, Some(FinalResponse::Failed));
     assert!((500..600).any(|round| {
-        replaced.replace(round).0 == first || !replaced.dispatcher.knows_endpoint(first)
+        replaced.replace(round).0 == first || !replaced.dispatcher.has_endpoint(first)
     }));
 }
 
--- a/tests/module/probing.rs
+++ b/tests/module/probing.rs
@@ -136,7 +136,7 @@
 #[test]
 fn requests_rarely_leave_their_zone_unless_it_is_loaded() {
     let settings = Settings {
-        my_zone: 1,
+        local_zone: 1,
         cross_zone_price: 0.2,
         ..probing_settings()
     };
@@ -234,7 +234,7 @@
         tenant: None,
         ttl_ms: TTL_MS,
         client_retry: false,
-        key: None,
+        affinity_key: None,
     };
     let steps = dispatcher.request_arrived(50_000.0, &arrival);
     assert!(steps.attempts.is_empty(), "the endpoint is probed first");
