--- a/src/balancer/mod.rs
+++ b/src/balancer/mod.rs
@@ -8,7 +8,7 @@
 //! response; `endpoint_list` applies updates of the endpoint list.
 //!
 //! This file holds the shared state and makes no decisions. The other files of this directory are the
-//! `policy` of deploy/balancer.toml, whose length is bounded.
+//! `policy` of deploy/balancer.toml.
 
 mod admission;
 mod candidates;
